--- a/crates/quay_experiment/src/faults/history.rs
+++ b/crates/quay_experiment/src/faults/history.rs
@@ -4,7 +4,7 @@
     crate::faults::{CallWorld, Decisions, Promise, Score, Trial},
     quay_quorum::{
         Mutation, Settings,
-        check::{Report, World, WorldSettings},
+        check::{Report, Simulation, SimulationSettings},
     },
     rand::Rng as _,
     rand_chacha::ChaCha8Rng,
@@ -16,7 +16,7 @@
 /// read; the calls tell whether each answer is in its own program's history.
 pub struct HistoryWorld {
     calls: CallWorld,
-    replicas: World,
+    replicas: Simulation,
     /// What the replicas were put to so far.
     report: Report,
     /// Whether a rule of the replicas is broken; they stop then.
@@ -25,10 +25,10 @@
 
 impl Trial for HistoryWorld {
     fn new(promise: Promise, decisions: Decisions, rng: &mut ChaCha8Rng) -> Self {
-        let cfg = WorldSettings::default();
+        let cfg = SimulationSettings::default();
         let mutation = match decisions {
             Decisions::Real => Mutation::None,
-            Decisions::Mutated => Mutation::AnswerBeforeSave,
+            Decisions::Mutated => Mutation::ReplyBeforePersist,
         };
         let replica = Settings {
             mutation,
@@ -36,7 +36,7 @@
         };
         Self {
             calls: CallWorld::new(promise, Decisions::Real, rng),
-            replicas: World::new(WorldSettings { replica, ..cfg }, rng.next_u64()),
+            replicas: Simulation::new(SimulationSettings { replica, ..cfg }, rng.next_u64()),
             report: Report::default(),
             broken: false,
         }
@@ -65,10 +65,10 @@
 
 /// Faults of the replicas so far.
 const fn faults(report: &Report) -> u64 {
-    report.crashes + report.cuts + report.suspensions + report.lost_disks
+    report.crashes + report.partitions + report.pauses + report.lost_disks
 }
 
 /// Answers and reads, each of which the judge holds against what was committed.
 const fn tests(report: &Report) -> u64 {
-    report.answers + report.reads
+    report.acknowledged + report.reads
 }
--- a/crates/quay_quorum/examples/long_run.rs
+++ b/crates/quay_quorum/examples/long_run.rs
@@ -1,7 +1,7 @@
 //! A long seeded run of replicas under faults: `long_run SEED STEPS REPLICAS`.
 
 use {
-    quay_quorum::check::{World, WorldSettings},
+    quay_quorum::check::{Simulation, SimulationSettings},
     std::{env, process::ExitCode},
 };
 
@@ -9,11 +9,11 @@
     let mut numbers = env::args().skip(1).map(|arg| arg.parse::<u64>().ok());
     let mut next = |default| numbers.next().flatten().unwrap_or(default);
     let (seed, steps, replicas) = (next(1), next(1_000_000), next(3));
-    let cfg = WorldSettings {
+    let cfg = SimulationSettings {
         replicas,
-        ..WorldSettings::default()
+        ..SimulationSettings::default()
     };
-    match World::new(cfg, seed).run(steps) {
+    match Simulation::new(cfg, seed).run(steps) {
         Ok(report) => {
             println!("seed={seed} replicas={replicas} {report:?}");
             ExitCode::SUCCESS
--- a/crates/quay_quorum/src/action.rs
+++ b/crates/quay_quorum/src/action.rs
@@ -1,13 +1,13 @@
 //! What a replica is told and what it asks for.
 
 use {
-    crate::{Change, Entry, HardState, Message, SnapshotMark},
+    crate::{Entry, HardState, MembershipChange, Message, SnapshotMeta},
     quay_types::{Epoch, LogIndex, NodeId},
 };
 
 /// Number of a save; saves are carried out in the order of their tickets.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Ticket(pub u64);
+pub struct PersistId(pub u64);
 
 /// What a replica is told.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -36,25 +36,25 @@
         tag: u64,
     },
     /// The members are to change; answered as a proposal.
-    Change {
+    ChangeMembership {
         /// Repeated in the answer.
         tag: u64,
         /// The change.
-        change: Change,
+        change: MembershipChange,
     },
     /// This save and all before it are synced.
-    Persisted(Ticket),
+    Persisted(PersistId),
     /// A snapshot of this replica's own state is synced.
-    Compacted(LogIndex),
+    SnapshotSaved(LogIndex),
 }
 
 /// A save. Entries replace those that are saved from their first index on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Persist {
     /// Number of the save.
-    pub ticket: Ticket,
+    pub id: PersistId,
     /// Term and vote, if they changed.
-    pub hard: Option<HardState>,
+    pub hard_state: Option<HardState>,
     /// New entries, in order.
     pub entries: Vec<Entry>,
 }
@@ -69,9 +69,9 @@
     /// The leader is new and does not know yet what is committed.
     NotReady,
     /// Another change of members is open.
-    ChangeOpen,
+    ChangeInProgress,
     /// The change does not fit the members.
-    BadChange,
+    InvalidChange,
     /// The learner lacks too many entries.
     LearnerBehind,
 }
@@ -98,9 +98,9 @@
     /// Replace the state by a snapshot; save it, then tell [`Input::Persisted`].
     Restore {
         /// Number of the save.
-        ticket: Ticket,
+        persist_id: PersistId,
         /// What the snapshot stands for.
-        mark: SnapshotMark,
+        meta: SnapshotMeta,
         /// The encoded state.
         data: Box<[u8]>,
         /// Whether saved entries after the snapshot stay.
@@ -134,7 +134,7 @@
         index: LogIndex,
     },
     /// This replica leads from now on.
-    Leads(Epoch),
+    BecameLeader(Epoch),
     /// This replica no longer leads; open proposals may yet commit.
     SteppedDown,
 }
--- a/crates/quay_quorum/src/check/explore.rs
+++ b/crates/quay_quorum/src/check/explore.rs
@@ -4,8 +4,8 @@
     crate::{
         Input, Settings,
         check::{
-            judge::Violation,
-            world::{World, WorldSettings},
+            safety_checker::Violation,
+            simulation::{Simulation, SimulationSettings},
         },
     },
     indexmap::IndexSet,
@@ -19,12 +19,12 @@
 
 /// What an exploration saw.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Explored {
+pub struct Exploration {
     /// Different states that were reached.
     pub states: u64,
     /// Moves that were made.
-    pub moves: u64,
-    /// Depth that was explored whole.
+    pub transitions: u64,
+    /// Depth that was explored completely.
     pub depth: u32,
     /// Greatest number of leaders on one path.
     pub elections: u64,
@@ -55,70 +55,70 @@
 /// # Errors
 ///
 /// The rule that is broken.
-pub fn explore(replica: Settings, depth: u32, limit: usize) -> Result<Explored, Violation> {
+pub fn explore(replica: Settings, depth: u32, limit: usize) -> Result<Exploration, Violation> {
     let start = start(replica)?;
     let mut seen = IndexSet::from([fingerprint(&start)]);
     let mut queue = VecDeque::from([(0, start)]);
-    let mut explored = Explored::default();
-    while let Some((at, world)) = queue.pop_front() {
-        explored.depth = at;
-        explored.elections = explored.elections.max(world.judge.elections());
-        explored.commits = explored.commits.max(world.judge.commits());
+    let mut exploration = Exploration::default();
+    while let Some((at, simulation)) = queue.pop_front() {
+        exploration.depth = at;
+        exploration.elections = exploration.elections.max(simulation.checker.elections());
+        exploration.commits = exploration.commits.max(simulation.checker.commits());
         if at == depth || seen.len() >= limit {
             continue;
         }
-        for next in moves(&world) {
-            let mut world = world.clone();
-            make(&mut world, next)?;
-            explored.moves += 1;
-            if seen.insert(fingerprint(&world)) {
-                queue.push_back((at + 1, world));
+        for next in moves(&simulation) {
+            let mut simulation = simulation.clone();
+            make(&mut simulation, next)?;
+            exploration.transitions += 1;
+            if seen.insert(fingerprint(&simulation)) {
+                queue.push_back((at + 1, simulation));
             }
         }
     }
-    explored.states = seen.len() as u64;
-    Ok(explored)
+    exploration.states = seen.len() as u64;
+    Ok(exploration)
 }
 
 /// A group whose first replica has just won its election.
-fn start(replica: Settings) -> Result<World, Violation> {
-    let cfg = WorldSettings {
+fn start(replica: Settings) -> Result<Simulation, Violation> {
+    let cfg = SimulationSettings {
         loss: 0,
         duplicates: 0,
         delay: Duration::ZERO,
         clock_error: 0,
         replica,
-        ..WorldSettings::default()
+        ..SimulationSettings::default()
     };
-    let mut world = World::new(cfg, 0);
+    let mut simulation = Simulation::new(cfg, 0);
     let nodes = [NodeId(1), NodeId(2), NodeId(3)];
-    make(&mut world, Move::Timeout(nodes[0]))?;
-    while world.leader().is_none() {
+    make(&mut simulation, Move::Timeout(nodes[0]))?;
+    while simulation.leader().is_none() {
         for node in nodes {
-            world.sync(node, usize::MAX)?;
+            simulation.sync(node, usize::MAX)?;
         }
-        if world.wire.is_empty() {
+        if simulation.wire.is_empty() {
             break;
         }
-        make(&mut world, Move::Deliver(0))?;
+        make(&mut simulation, Move::Deliver(0))?;
     }
-    Ok(world)
+    Ok(simulation)
 }
 
 /// The moves that may be made.
-fn moves(world: &World) -> Vec<Move> {
+fn moves(simulation: &Simulation) -> Vec<Move> {
     let mut moves = Vec::new();
-    for (node, host) in &world.hosts {
+    for (node, host) in &simulation.hosts {
         moves.push(Move::Timeout(*node));
         moves.push(Move::Crash(*node));
         if host.is_dirty() {
             moves.push(Move::Sync(*node));
         }
-        if host.replica.as_ref().is_some_and(crate::Replica::leads) {
+        if host.replica.as_ref().is_some_and(crate::Replica::is_leader) {
             moves.push(Move::Propose(*node));
         }
     }
-    for slot in 0..world.wire.len() {
+    for slot in 0..simulation.wire.len() {
         moves.push(Move::Deliver(slot));
         moves.push(Move::Lose(slot));
     }
@@ -126,39 +126,39 @@
 }
 
 /// Makes a move.
-fn make(world: &mut World, next: Move) -> Result<(), Violation> {
+fn make(simulation: &mut Simulation, next: Move) -> Result<(), Violation> {
     match next {
         Move::Timeout(node) => {
-            if let Some(replica) = &world.hosts[&node].replica {
-                world.now = world.now.max(replica.deadline());
+            if let Some(replica) = &simulation.hosts[&node].replica {
+                simulation.now = simulation.now.max(replica.deadline());
             }
-            world.input(node, Input::Tick)
+            simulation.input(node, Input::Tick)
         }
         Move::Deliver(slot) => {
-            let packet = world.wire.remove(slot);
-            world.deliver(packet)
+            let packet = simulation.wire.remove(slot);
+            simulation.deliver(packet)
         }
         Move::Lose(slot) => {
-            world.wire.remove(slot);
+            simulation.wire.remove(slot);
             Ok(())
         }
-        Move::Sync(node) => world.sync(node, usize::MAX),
+        Move::Sync(node) => simulation.sync(node, usize::MAX),
         Move::Crash(node) => {
-            world.hosts[&node].crash(0);
-            world.restart(node);
+            simulation.hosts[&node].crash(0);
+            simulation.restart(node);
             Ok(())
         }
-        Move::Propose(node) => world.propose(node),
+        Move::Propose(node) => simulation.propose(node),
     }
 }
 
 /// Digest of a state, but for the time.
-fn fingerprint(world: &World) -> u64 {
+fn fingerprint(simulation: &Simulation) -> u64 {
     let mut state = DefaultHasher::new();
-    for host in world.hosts.values() {
+    for host in simulation.hosts.values() {
         host.shape(&mut state);
     }
-    for packet in &world.wire {
+    for packet in &simulation.wire {
         (packet.from, packet.to, &packet.message).hash(&mut state);
     }
     state.finish()
--- a/crates/quay_quorum/src/check/faults.rs
+++ b/crates/quay_quorum/src/check/faults.rs
@@ -2,11 +2,11 @@
 
 use {
     crate::{
-        Change, Input, Replica,
+        Input, MembershipChange, Replica,
         check::{
             host::Host,
-            judge::Violation,
-            world::{World, clock_rate, member},
+            safety_checker::Violation,
+            simulation::{Simulation, clock_rate, member},
         },
     },
     quay_types::{NodeId, Time},
@@ -52,7 +52,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// Goes on with the faults that are under way and starts new ones.
     pub(super) fn inject_faults(&mut self) -> Result<(), Violation> {
         if self.now >= self.faults.heal_at {
@@ -106,7 +106,7 @@
         if host.suspended.is_none() {
             host.suspended = Some(until);
             host.missed += span;
-            self.report.suspensions += 1;
+            self.report.pauses += 1;
         }
     }
 
@@ -148,7 +148,7 @@
 
     /// Cuts the links to or from a host, for a while.
     fn cut(&mut self, node: NodeId, to: bool, from: bool, limit_ms: u64) {
-        self.report.cuts += 1;
+        self.report.partitions += 1;
         let others: Vec<NodeId> = self.hosts.keys().copied().collect();
         for other in others {
             if to {
@@ -165,7 +165,7 @@
     /// A host syncs a snapshot and forgets the entries that it covers.
     fn take_snapshot(&mut self, node: NodeId) -> Result<(), Violation> {
         match self.hosts[&node].snapshot() {
-            Some(index) => self.input(node, Input::Compacted(index)),
+            Some(index) => self.input(node, Input::SnapshotSaved(index)),
             None => Ok(()),
         }
     }
@@ -211,11 +211,11 @@
         };
         let status = replica.status();
         let change = if status.members.get(repair.new).is_none() {
-            Change::AddLearner(member(repair.new))
+            MembershipChange::AddLearner(member(repair.new))
         } else if !status.members.is_voter(repair.new) {
-            Change::Promote(repair.new)
+            MembershipChange::Promote(repair.new)
         } else if status.members.get(repair.lost).is_some() {
-            Change::Remove(repair.lost)
+            MembershipChange::Remove(repair.lost)
         } else {
             // Repaired for good once the removal is committed and answered.
             if status.commit == status.last.index {
@@ -228,7 +228,7 @@
 
     /// The lost host is replaced; another may be lost right after.
     fn finish_repair(&mut self, repair: Repair) {
-        self.report.repairs += 1;
+        self.report.replaced_hosts += 1;
         self.faults.repair = None;
         self.hosts.shift_remove(&repair.lost);
         if self.faults.second_loss {
--- a/crates/quay_quorum/src/check/host.rs
+++ b/crates/quay_quorum/src/check/host.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        Entry, HardState, Persist, Position, Replica, Restart, Settings, SnapshotMark, Ticket,
-        check::judge::Applied,
+        Entry, HardState, Persist, PersistId, PersistedState, Position, Replica, Settings,
+        SnapshotMeta, check::safety_checker::Applied,
     },
     indexmap::IndexMap,
     quay_types::{Epoch, LogIndex, NodeId, Time},
@@ -18,13 +18,13 @@
 #[derive(Debug, Clone, Hash)]
 enum Job {
     Save {
-        ticket: Ticket,
-        hard: Option<HardState>,
+        persist_id: PersistId,
+        hard_state: Option<HardState>,
         entries: Vec<Entry>,
     },
     Restore {
-        ticket: Ticket,
-        mark: SnapshotMark,
+        persist_id: PersistId,
+        meta: SnapshotMeta,
         state: Applied,
         keep: bool,
     },
@@ -33,8 +33,8 @@
 /// What survives a crash.
 #[derive(Debug, Clone, Default, Hash)]
 struct Synced {
-    hard: HardState,
-    mark: SnapshotMark,
+    hard_state: HardState,
+    meta: SnapshotMeta,
     state: Applied,
     entries: Vec<Entry>,
 }
@@ -43,19 +43,23 @@
     /// Carries out a save.
     fn carry_out(&mut self, job: Job) {
         match job {
-            Job::Save { hard, entries, .. } => {
-                self.hard = hard.unwrap_or(self.hard);
+            Job::Save {
+                hard_state,
+                entries,
+                ..
+            } => {
+                self.hard_state = hard_state.unwrap_or(self.hard_state);
                 if let Some(first) = entries.first().map(Entry::index) {
                     self.entries.retain(|entry| entry.index() < first);
                 }
                 self.entries.extend(entries);
             }
             Job::Restore {
-                mark, state, keep, ..
+                meta, state, keep, ..
             } => {
-                let index = mark.position.index;
+                let index = meta.position.index;
                 self.entries.retain(|entry| keep && entry.index() > index);
-                self.mark = mark;
+                self.meta = meta;
                 self.state = state;
             }
         }
@@ -63,7 +67,7 @@
 
     /// Whether an entry or a snapshot that covers it is here.
     fn holds(&self, position: Position) -> bool {
-        self.mark.position.index >= position.index
+        self.meta.position.index >= position.index
             || self.entries.iter().any(|entry| entry.position == position)
     }
 }
@@ -95,7 +99,7 @@
     /// A host with a new replica.
     pub(crate) fn new(replica: Replica, clock_rate: u64) -> Self {
         let status = replica.status();
-        let mark = SnapshotMark {
+        let meta = SnapshotMeta {
             position: Position::default(),
             members: status.members,
         };
@@ -109,7 +113,7 @@
             proposals: IndexMap::new(),
             reads: IndexMap::new(),
             synced: Synced {
-                mark,
+                meta,
                 ..Synced::default()
             },
             queue: VecDeque::new(),
@@ -125,8 +129,8 @@
     /// Queues a save.
     pub(crate) fn save(&mut self, persist: Persist) {
         self.queue.push_back(Job::Save {
-            ticket: persist.ticket,
-            hard: persist.hard,
+            persist_id: persist.id,
+            hard_state: persist.hard_state,
             entries: persist.entries,
         });
     }
@@ -134,15 +138,15 @@
     /// Queues a snapshot from the leader and takes it as the state.
     pub(crate) fn restore(
         &mut self,
-        ticket: Ticket,
-        mark: SnapshotMark,
+        persist_id: PersistId,
+        meta: SnapshotMeta,
         state: Applied,
         keep: bool,
     ) {
         self.state = state;
         self.queue.push_back(Job::Restore {
-            ticket,
-            mark,
+            persist_id,
+            meta,
             state,
             keep,
         });
@@ -153,15 +157,15 @@
         !self.queue.is_empty()
     }
 
-    /// Syncs the first `count` saves and tells the ticket of the last.
-    pub(crate) fn sync(&mut self, count: usize) -> Option<Ticket> {
+    /// Syncs the first `count` saves and returns the identifier of the last one.
+    pub(crate) fn sync(&mut self, count: usize) -> Option<PersistId> {
         let mut done = None;
         for _ in 0..count {
             let Some(job) = self.queue.pop_front() else {
                 break;
             };
-            let (Job::Save { ticket, .. } | Job::Restore { ticket, .. }) = &job;
-            done = Some(*ticket);
+            let (Job::Save { persist_id, .. } | Job::Restore { persist_id, .. }) = &job;
+            done = Some(*persist_id);
             self.synced.carry_out(job);
         }
         done
@@ -169,20 +173,20 @@
 
     /// Syncs a snapshot of the replica's own state and tells its index.
     pub(crate) fn snapshot(&mut self) -> Option<LogIndex> {
-        let mark = self.replica.as_ref()?.mark(self.state.index)?;
-        let index = mark.position.index;
-        if index <= self.synced.mark.position.index {
+        let meta = self.replica.as_ref()?.snapshot_meta(self.state.index)?;
+        let index = meta.position.index;
+        if index <= self.synced.meta.position.index {
             return None;
         }
         self.synced.entries.retain(|entry| entry.index() > index);
-        self.synced.mark = mark;
+        self.synced.meta = meta;
         self.synced.state = self.state;
         Some(index)
     }
 
     /// The latest synced snapshot.
-    pub(crate) fn latest_snapshot(&self) -> (SnapshotMark, Applied) {
-        (self.synced.mark.clone(), self.synced.state)
+    pub(crate) fn latest_snapshot(&self) -> (SnapshotMeta, Applied) {
+        (self.synced.meta.clone(), self.synced.state)
     }
 
     /// Whether an entry is synced here, or was when the disk was lost.
@@ -201,15 +205,15 @@
 
     /// The process starts again with what was synced.
     pub(crate) fn restart(&mut self, node: NodeId, cfg: Settings, seed: u64, now: Time) {
-        let mark = self.synced.mark.clone();
+        let meta = self.synced.meta.clone();
         let entries = self.synced.entries.iter();
-        let restart = Restart {
-            hard: self.synced.hard,
+        let restart = PersistedState {
+            hard_state: self.synced.hard_state,
             entries: entries
-                .filter(|entry| entry.index() > mark.position.index)
+                .filter(|entry| entry.index() > meta.position.index)
                 .cloned()
                 .collect(),
-            mark,
+            meta,
         };
         self.state = self.synced.state;
         let now = self.local(now);
--- a/crates/quay_quorum/src/check/mod.rs
+++ b/crates/quay_quorum/src/check/mod.rs
@@ -1,26 +1,26 @@
 //! Checks of the replicas: seeded faults and a bounded exploration.
 //!
-//! A [`World`] holds real [`Replica`](crate::Replica)s over a fake of messages
-//! and disks; a [`Judge`] sees every leader, commit and read, and names the
+//! A [`Simulation`] holds real [`Replica`](crate::Replica)s over a fake of messages
+//! and disks; a [`SafetyChecker`] sees every leader, commit and read, and names the
 //! first rule that is broken. The same seed gives the same run.
 //!
 //! ```
-//! use quay_quorum::check::{World, WorldSettings};
+//! use quay_quorum::check::{Simulation, SimulationSettings};
 //!
-//! let mut world = World::new(WorldSettings::default(), 1);
-//! let report = world.run(2_000).expect("no rule is broken");
+//! let mut simulation = Simulation::new(SimulationSettings::default(), 1);
+//! let report = simulation.run(2_000).expect("no rule is broken");
 //! assert!(report.commits > 0);
 //! ```
 
 mod explore;
 mod faults;
 mod host;
-mod judge;
-mod world;
+mod safety_checker;
+mod simulation;
 
 pub use {
-    explore::{Explored, explore},
+    explore::{Exploration, explore},
     host::Host,
-    judge::{Judge, Violation},
-    world::{Report, World, WorldSettings},
+    safety_checker::{SafetyChecker, Violation},
+    simulation::{Report, Simulation, SimulationSettings},
 };
--- a/crates/quay_quorum/src/check/judge.rs
+++ b/crates/quay_quorum/src/check/safety_checker.rs
@@ -94,7 +94,7 @@
 
 /// Sees every leader, commit and read.
 #[derive(Debug, Clone, Default)]
-pub struct Judge {
+pub struct SafetyChecker {
     leaders: IndexMap<Epoch, NodeId>,
     /// Position 0 is the entry at index 1.
     history: Vec<Committed>,
@@ -102,7 +102,7 @@
     answered: LogIndex,
 }
 
-impl Judge {
+impl SafetyChecker {
     /// Entries that were committed.
     #[must_use]
     pub fn commits(&self) -> u64 {
@@ -132,13 +132,13 @@
     /// # Errors
     ///
     /// If another leads in this term, or a committed entry is missing.
-    pub fn leads(&mut self, replica: &Replica, term: Epoch) -> Result<(), Violation> {
+    pub fn on_leader_elected(&mut self, replica: &Replica, term: Epoch) -> Result<(), Violation> {
         let node = replica.status().node;
         let known = *self.leaders.entry(term).or_insert(node);
         if known != node {
             return Err(Violation::TwoLeaders(term, known, node));
         }
-        let kept_after = replica.kept_after().index;
+        let kept_after = replica.compacted_through().index;
         for index in (kept_after.0 + 1..=self.commits()).map(LogIndex) {
             let Some(committed) = self.committed(index) else {
                 break;
@@ -160,7 +160,7 @@
     /// # Errors
     ///
     /// If it is not the next one, or another replica applied another there.
-    pub fn applies(
+    pub fn on_apply(
         &mut self,
         node: NodeId,
         state: &mut Applied,
@@ -190,7 +190,7 @@
     /// # Errors
     ///
     /// If the state is not the one that was committed there.
-    pub fn restores(
+    pub fn on_restore(
         &self,
         node: NodeId,
         state: Applied,
@@ -211,7 +211,7 @@
     /// # Errors
     ///
     /// If too few disks hold it.
-    pub fn answers(
+    pub fn on_acknowledge(
         &mut self,
         index: LogIndex,
         durable: usize,
@@ -229,7 +229,7 @@
     /// # Errors
     ///
     /// If it misses a command that was answered before.
-    pub fn reads(&self, node: NodeId, saw: LogIndex, floor: LogIndex) -> Result<(), Violation> {
+    pub fn on_read(&self, node: NodeId, saw: LogIndex, floor: LogIndex) -> Result<(), Violation> {
         if saw < floor {
             return Err(Violation::StaleRead { node, saw, floor });
         }
--- a/crates/quay_quorum/src/check/world.rs
+++ b/crates/quay_quorum/src/check/simulation.rs
@@ -2,11 +2,12 @@
 
 use {
     crate::{
-        Action, Change, Input, Member, Membership, Message, Position, Refusal, Replica, Settings,
+        Action, Input, Member, Membership, MembershipChange, Message, Position, Refusal, Replica,
+        Settings,
         check::{
             faults::Faults,
             host::Host,
-            judge::{Applied, Judge, Violation},
+            safety_checker::{Applied, SafetyChecker, Violation},
         },
     },
     indexmap::{IndexMap, IndexSet},
@@ -18,7 +19,7 @@
 
 /// How often things go wrong, in thousandths of a step or message.
 #[derive(Debug, Clone, Copy)]
-pub struct WorldSettings {
+pub struct SimulationSettings {
     /// Voters at the start.
     pub replicas: u64,
     /// Messages that get lost.
@@ -35,7 +36,7 @@
     pub replica: Settings,
 }
 
-impl Default for WorldSettings {
+impl Default for SimulationSettings {
     fn default() -> Self {
         Self {
             replicas: 3,
@@ -47,8 +48,8 @@
             replica: Settings {
                 // Small limits, so that snapshots and windows are put to the test.
                 keep_entries: 4,
-                batch_bytes: 128,
-                window: 3,
+                max_batch_bytes: 128,
+                max_in_flight: 3,
                 snapshot_resend: Duration::from_millis(400),
                 ..Settings::default()
             },
@@ -70,7 +71,7 @@
     /// Entries that were committed.
     pub commits: u64,
     /// Commands that were answered as committed.
-    pub answers: u64,
+    pub acknowledged: u64,
     /// Reads that were confirmed.
     pub reads: u64,
     /// Requests that were refused.
@@ -78,15 +79,15 @@
     /// Processes that died.
     pub crashes: u64,
     /// Links that were cut.
-    pub cuts: u64,
+    pub partitions: u64,
     /// Hosts that stood still for a while, their clocks too.
-    pub suspensions: u64,
+    pub pauses: u64,
     /// Disks that were lost.
     pub lost_disks: u64,
     /// Lost hosts that were replaced under a new identity.
-    pub repairs: u64,
+    pub replaced_hosts: u64,
     /// Snapshots that a follower took from its leader.
-    pub restores: u64,
+    pub snapshots_installed: u64,
 }
 
 /// A message under way.
@@ -100,15 +101,15 @@
 
 /// Replicas over a fake of messages and disks.
 #[derive(Debug, Clone)]
-pub struct World {
-    pub(crate) cfg: WorldSettings,
+pub struct Simulation {
+    pub(crate) cfg: SimulationSettings,
     pub(crate) rng: ChaCha8Rng,
     pub(crate) now: Time,
     pub(crate) hosts: IndexMap<NodeId, Host>,
     pub(crate) wire: Vec<Packet>,
     /// Links on which nothing arrives, by sender and receiver.
     pub(crate) cuts: IndexSet<(NodeId, NodeId)>,
-    pub(crate) judge: Judge,
+    pub(crate) checker: SafetyChecker,
     pub(crate) report: Report,
     pub(crate) faults: Faults,
     next_tag: u64,
@@ -122,18 +123,18 @@
 }
 
 /// Draws the speed of a clock.
-pub(crate) fn clock_rate(rng: &mut ChaCha8Rng, cfg: WorldSettings) -> u64 {
+pub(crate) fn clock_rate(rng: &mut ChaCha8Rng, cfg: SimulationSettings) -> u64 {
     1_000 - cfg.clock_error + rng.next_u64() % (2 * cfg.clock_error + 1)
 }
 
-impl World {
+impl Simulation {
     /// A group of new replicas.
     #[must_use]
-    pub fn new(cfg: WorldSettings, seed: u64) -> Self {
+    pub fn new(cfg: SimulationSettings, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let now = Time::ZERO;
         let nodes = (1..=cfg.replicas).map(NodeId);
-        let members = Membership::of_voters(nodes.clone().map(member));
+        let members = Membership::from_voters(nodes.clone().map(member));
         let hosts = nodes
             .map(|node| {
                 let members = members.clone();
@@ -148,7 +149,7 @@
             hosts,
             wire: Vec::new(),
             cuts: IndexSet::new(),
-            judge: Judge::default(),
+            checker: SafetyChecker::default(),
             report: Report::default(),
             faults: Faults::new(cfg.replicas),
             next_tag: 0,
@@ -171,8 +172,8 @@
     #[must_use]
     pub fn report(&self) -> Report {
         Report {
-            elections: self.judge.elections(),
-            commits: self.judge.commits(),
+            elections: self.checker.elections(),
+            commits: self.checker.commits(),
             ..self.report
         }
     }
@@ -205,7 +206,7 @@
     pub fn leader(&self) -> Option<NodeId> {
         let leading = self.hosts.iter().filter_map(|(node, host)| {
             let replica = host.replica.as_ref()?;
-            replica.leads().then_some((replica.term(), *node))
+            replica.is_leader().then_some((replica.term(), *node))
         });
         leading.max().map(|(_, node)| node)
     }
@@ -233,7 +234,7 @@
     /// Reads at each replica that takes itself for the leader: a stale one
     /// must not answer.
     fn read_at_leaders(&mut self) -> Result<(), Violation> {
-        let leading = |host: &Host| host.replica.as_ref().is_some_and(Replica::leads);
+        let leading = |host: &Host| host.replica.as_ref().is_some_and(Replica::is_leader);
         let leaders = self.hosts.iter().filter(|(_, host)| leading(host));
         for node in leaders.map(|(node, _)| *node).collect::<Vec<_>>() {
             if self.chance(250) {
@@ -290,7 +291,7 @@
             return Ok(());
         }
         match host.sync(jobs) {
-            Some(ticket) => self.input(node, Input::Persisted(ticket)),
+            Some(persist_id) => self.input(node, Input::Persisted(persist_id)),
             None => Ok(()),
         }
     }
@@ -305,15 +306,19 @@
     /// Asks a host for a read.
     pub(crate) fn read(&mut self, node: NodeId) -> Result<(), Violation> {
         let tag = self.take_tag();
-        let floor = self.judge.answered();
+        let floor = self.checker.answered();
         self.hosts[&node].reads.insert(tag, floor);
         self.input(node, Input::Read { tag })
     }
 
     /// Asks a host for a change of members.
-    pub(crate) fn change(&mut self, node: NodeId, change: Change) -> Result<(), Violation> {
+    pub(crate) fn change(
+        &mut self,
+        node: NodeId,
+        change: MembershipChange,
+    ) -> Result<(), Violation> {
         let tag = self.take_tag();
-        self.input(node, Input::Change { tag, change })
+        self.input(node, Input::ChangeMembership { tag, change })
     }
 
     /// A tag that was not used before.
@@ -351,20 +356,20 @@
             Action::Persist(persist) => self.hosts[&node].save(persist),
             Action::Send { to, message } => self.send(node, to, &message),
             Action::SendSnapshot { to, term } => {
-                let (mark, state) = self.hosts[&node].latest_snapshot();
+                let (meta, state) = self.hosts[&node].latest_snapshot();
                 let data = state.encode();
-                self.send(node, to, &Message::Snapshot { term, mark, data });
+                self.send(node, to, &Message::Snapshot { term, meta, data });
             }
             Action::Restore {
-                ticket,
-                mark,
+                persist_id,
+                meta,
                 data,
                 keep,
             } => {
                 let state = Applied::decode(&data);
-                self.judge.restores(node, state, mark.position)?;
-                self.report.restores += 1;
-                self.hosts[&node].restore(ticket, mark, state, keep);
+                self.checker.on_restore(node, state, meta.position)?;
+                self.report.snapshots_installed += 1;
+                self.hosts[&node].restore(persist_id, meta, state, keep);
             }
             Action::Apply(entries) => self.apply(node, &entries)?,
             Action::Proposed { index, term, .. } => {
@@ -374,12 +379,12 @@
             Action::ReadReady { tag, index } => {
                 if let Some(floor) = self.hosts[&node].reads.shift_remove(&tag) {
                     self.report.reads += 1;
-                    self.judge.reads(node, index, floor)?;
+                    self.checker.on_read(node, index, floor)?;
                 }
             }
-            Action::Leads(term) => {
+            Action::BecameLeader(term) => {
                 if let Some(replica) = &self.hosts[&node].replica {
-                    self.judge.leads(replica, term)?;
+                    self.checker.on_leader_elected(replica, term)?;
                 }
             }
             Action::SteppedDown => {
@@ -412,7 +417,7 @@
     fn apply(&mut self, node: NodeId, entries: &[crate::Entry]) -> Result<(), Violation> {
         for entry in entries {
             let host = &mut self.hosts[&node];
-            self.judge.applies(node, &mut host.state, entry)?;
+            self.checker.on_apply(node, &mut host.state, entry)?;
             let proposed = host.proposals.shift_remove(&entry.index());
             if proposed == Some(entry.position.term) {
                 self.answer(node, entry.position)?;
@@ -435,9 +440,9 @@
                     .is_some_and(|host| host.holds(position))
             })
             .count();
-        self.report.answers += 1;
-        self.judge
-            .answers(position.index, durable, members.quorum())
+        self.report.acknowledged += 1;
+        self.checker
+            .on_acknowledge(position.index, durable, members.quorum())
     }
 
     /// A request was refused.
@@ -456,6 +461,6 @@
     /// Last command that was answered as committed.
     #[must_use]
     pub const fn answered(&self) -> LogIndex {
-        self.judge.answered()
+        self.checker.answered()
     }
 }
--- a/crates/quay_quorum/src/entry.rs
+++ b/crates/quay_quorum/src/entry.rs
@@ -67,7 +67,7 @@
 
 /// What a snapshot stands for.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct SnapshotMark {
+pub struct SnapshotMeta {
     /// Last entry that the snapshot covers.
     pub position: Position,
     /// Members at that entry.
--- a/crates/quay_quorum/src/lib.rs
+++ b/crates/quay_quorum/src/lib.rs
@@ -9,13 +9,13 @@
 //! use quay_quorum::{Action, Input, Member, Membership, Replica, Settings};
 //! use quay_types::{NodeId, Time};
 //!
-//! let only = Membership::of_voters([Member::new(NodeId(1), "127.0.0.1:1".parse().expect("address"), "dc-1")]);
+//! let only = Membership::from_voters([Member::new(NodeId(1), "127.0.0.1:1".parse().expect("address"), "dc-1")]);
 //! let mut replica = Replica::bootstrap(NodeId(1), only, Settings::default(), 7, Time::ZERO);
 //! // The election timeout passes; the only voter elects itself once its vote is saved.
 //! let now = Time::from_millis(5_000);
 //! replica.step(now, Input::Tick);
 //! let saved: Vec<_> = replica.flush(now).into_iter().filter_map(|action| match action {
-//!     Action::Persist(persist) => Some(persist.ticket),
+//!     Action::Persist(persist) => Some(persist.id),
 //!     _ => None,
 //! }).collect();
 //! replica.step(now, Input::Persisted(saved[0]));
@@ -35,12 +35,12 @@
 mod settings;
 
 pub use {
-    action::{Action, Input, Persist, Refusal, Ticket},
-    entry::{Entry, HardState, Payload, Position, SnapshotMark},
+    action::{Action, Input, Persist, PersistId, Refusal},
+    entry::{Entry, HardState, Payload, Position, SnapshotMeta},
     machine::StateMachine,
-    membership::{Change, Member, Membership},
+    membership::{Member, Membership, MembershipChange},
     message::{AppendOutcome, Message},
-    placement::{Advice, placement},
-    replica::{Replica, Restart, Status},
+    placement::{PlacementAdvice, placement_advice},
+    replica::{PersistedState, Replica, Status},
     settings::{Mutation, Settings},
 };
--- a/crates/quay_quorum/src/membership.rs
+++ b/crates/quay_quorum/src/membership.rs
@@ -40,7 +40,7 @@
 
 /// A change of the members; only one may be open at a time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Change {
+pub enum MembershipChange {
     /// Adds a member without a vote.
     AddLearner(Member),
     /// Gives a learner that has caught up a vote.
@@ -52,7 +52,7 @@
 impl Membership {
     /// A group of voters.
     #[must_use]
-    pub fn of_voters(voters: impl IntoIterator<Item = Member>) -> Self {
+    pub fn from_voters(voters: impl IntoIterator<Item = Member>) -> Self {
         Self {
             voters: voters.into_iter().collect(),
             learners: Vec::new(),
@@ -87,20 +87,20 @@
     /// The sets of voters before and after differ by one at most, so that each
     /// quorum of one meets each quorum of the other.
     #[must_use]
-    pub fn after(&self, change: &Change) -> Option<Self> {
+    pub fn with_change(&self, change: &MembershipChange) -> Option<Self> {
         let mut next = self.clone();
         match change {
-            Change::AddLearner(member) => {
+            MembershipChange::AddLearner(member) => {
                 if self.get(member.node).is_some() {
                     return None;
                 }
                 next.learners.push(member.clone());
             }
-            Change::Promote(node) => {
+            MembershipChange::Promote(node) => {
                 let at = self.learners.iter().position(|held| held.node == *node)?;
                 next.voters.push(next.learners.remove(at));
             }
-            Change::Remove(node) => {
+            MembershipChange::Remove(node) => {
                 self.get(*node)?;
                 next.voters.retain(|held| held.node != *node);
                 next.learners.retain(|held| held.node != *node);
--- a/crates/quay_quorum/src/memory_log.rs
+++ b/crates/quay_quorum/src/memory_log.rs
@@ -1,7 +1,7 @@
 //! Entries that a replica keeps in memory.
 
 use {
-    crate::{Entry, Membership, Payload, Position, SnapshotMark},
+    crate::{Entry, Membership, Payload, Position, SnapshotMeta},
     quay_types::{Epoch, LogIndex},
     std::collections::VecDeque,
 };
@@ -19,11 +19,11 @@
 
 impl MemoryLog {
     /// The log behind a snapshot.
-    pub fn new(mark: SnapshotMark, entries: impl IntoIterator<Item = Entry>) -> Self {
+    pub fn new(meta: SnapshotMeta, entries: impl IntoIterator<Item = Entry>) -> Self {
         let mut log = Self {
-            base: mark.position,
+            base: meta.position,
             entries: VecDeque::new(),
-            members: vec![(mark.position.index, mark.members)],
+            members: vec![(meta.position.index, meta.members)],
         };
         for entry in entries {
             log.push(entry);
--- a/crates/quay_quorum/src/message.rs
+++ b/crates/quay_quorum/src/message.rs
@@ -1,7 +1,7 @@
 //! Messages between the replicas of a group.
 
 use {
-    crate::{Entry, Position, SnapshotMark},
+    crate::{Entry, Position, SnapshotMeta},
     quay_types::{Epoch, LogIndex},
     serde::{Deserialize, Serialize},
 };
@@ -91,7 +91,7 @@
         /// Term of the leader.
         term: Epoch,
         /// What the snapshot stands for.
-        mark: SnapshotMark,
+        meta: SnapshotMeta,
         /// The encoded state.
         #[serde(with = "quay_types::bytes")]
         data: Box<[u8]>,
--- a/crates/quay_quorum/src/placement.rs
+++ b/crates/quay_quorum/src/placement.rs
@@ -7,11 +7,11 @@
 
 /// Why the places of the voters are a risk.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Advice {
+pub enum PlacementAdvice {
     /// The loss of one host loses the quorum.
     TooFew(usize),
     /// An even number of voters bears no more losses than one voter fewer.
-    Even(usize),
+    EvenVoters(usize),
     /// The loss of this data centre loses the quorum.
     Concentrated {
         /// The data centre.
@@ -21,11 +21,13 @@
     },
 }
 
-impl fmt::Display for Advice {
+impl fmt::Display for PlacementAdvice {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::TooFew(voters) => write!(f, "{voters} voters do not survive a lost host"),
-            Self::Even(voters) => write!(f, "{voters} voters bear no more losses than one fewer"),
+            Self::EvenVoters(voters) => {
+                write!(f, "{voters} voters bear no more losses than one fewer")
+            }
             Self::Concentrated {
                 data_centre,
                 voters,
@@ -42,14 +44,14 @@
 /// Checks the places of the voters. A replica that waits to be made a learner
 /// knows none, and gets no advice.
 #[must_use]
-pub fn placement(members: &Membership) -> Vec<Advice> {
+pub fn placement_advice(members: &Membership) -> Vec<PlacementAdvice> {
     let voters = members.voters.len();
     let mut advice = Vec::new();
     if (1..LEAST_VOTERS).contains(&voters) {
-        advice.push(Advice::TooFew(voters));
+        advice.push(PlacementAdvice::TooFew(voters));
     }
     if voters > 0 && voters.is_multiple_of(2) {
-        advice.push(Advice::Even(voters));
+        advice.push(PlacementAdvice::EvenVoters(voters));
     }
     let mut centres: IndexMap<&str, usize> = IndexMap::new();
     for member in &members.voters {
@@ -58,7 +60,7 @@
     let spare = voters.saturating_sub(members.quorum());
     let concentrated = centres.into_iter().filter(|(_, held)| *held > spare);
     advice.extend(
-        concentrated.map(|(data_centre, voters)| Advice::Concentrated {
+        concentrated.map(|(data_centre, voters)| PlacementAdvice::Concentrated {
             data_centre: data_centre.into(),
             voters,
         }),
--- a/crates/quay_quorum/src/replica/election.rs
+++ b/crates/quay_quorum/src/replica/election.rs
@@ -16,7 +16,7 @@
                 self.on_pre_vote_reply(now, from, term, granted);
             }
             other => {
-                if other.term() > self.hard.term {
+                if other.term() > self.hard_state.term {
                     self.follow(now, other.term(), None);
                 }
                 self.current_message(now, from, other);
@@ -26,7 +26,7 @@
 
     /// Takes a message of this term or an earlier one.
     fn current_message(&mut self, now: Time, from: NodeId, message: Message) {
-        let current = message.term() == self.hard.term;
+        let current = message.term() == self.hard_state.term;
         match message {
             Message::VoteReply { granted, .. } if current => self.on_vote_reply(now, from, granted),
             Message::AppendReply { outcome, .. } if current => {
@@ -48,13 +48,13 @@
                 self.hear_leader(now, from);
                 self.on_heartbeat(from, commit, round);
             }
-            Message::Snapshot { mark, data, .. } if current => {
+            Message::Snapshot { meta, data, .. } if current => {
                 self.hear_leader(now, from);
-                self.on_snapshot(from, mark, data);
+                self.on_snapshot(from, meta, data);
             }
             // The sender leads no longer and learns it from the term.
             Message::Append { .. } | Message::Heartbeat { .. } | Message::Snapshot { .. } => {
-                let term = self.hard.term;
+                let term = self.hard_state.term;
                 self.send_when_saved(from, Message::HeartbeatReply { term, round: 0 });
             }
             _ => {}
@@ -63,11 +63,11 @@
 
     /// Becomes a follower, in a later term if one is given.
     pub(super) fn follow(&mut self, now: Time, term: Epoch, leader: Option<NodeId>) {
-        assert!(term >= self.hard.term, "terms never fall");
-        if term > self.hard.term {
-            self.hard.term = term;
-            self.hard.vote = None;
-            self.hard_changed = true;
+        assert!(term >= self.hard_state.term, "terms never fall");
+        if term > self.hard_state.term {
+            self.hard_state.term = term;
+            self.hard_state.vote = None;
+            self.hard_state_changed = true;
         }
         if self.role == Role::Leader {
             self.out.push(Action::SteppedDown);
@@ -87,7 +87,7 @@
             "one leader a term"
         );
         if self.role != Role::Follower || self.leader.is_none() {
-            self.follow(now, self.hard.term, Some(from));
+            self.follow(now, self.hard_state.term, Some(from));
         }
         self.leader_heard = Some(now);
         self.reset_deadline(now);
@@ -101,7 +101,7 @@
 
     /// Whether a candidate's log is as complete as this one.
     fn complete(&self, last: Position) -> bool {
-        last >= self.log.last() || self.cfg.mutation == Mutation::VoteForAnyone
+        last >= self.log.last() || self.cfg.mutation == Mutation::IgnoreLogCompleteness
     }
 
     // -----------------------------------------------------------------------
@@ -116,7 +116,7 @@
         self.role = Role::PreCandidate;
         self.leader = None;
         self.votes.clear();
-        let term = Epoch(self.hard.term.0 + 1);
+        let term = Epoch(self.hard_state.term.0 + 1);
         let last = self.log.last();
         self.send_to_voters(&Message::PreVote { term, last });
         self.on_pre_vote_reply(now, self.node, term, true);
@@ -126,11 +126,11 @@
     fn campaign(&mut self, now: Time) {
         self.role = Role::Candidate;
         self.votes.clear();
-        self.hard.term.0 += 1;
-        self.hard.vote = Some(self.node);
-        self.hard_changed = true;
+        self.hard_state.term.0 += 1;
+        self.hard_state.vote = Some(self.node);
+        self.hard_state_changed = true;
         self.reset_deadline(now);
-        let term = self.hard.term;
+        let term = self.hard_state.term;
         let last = self.log.last();
         for to in self.other_voters() {
             self.send_when_saved(to, Message::Vote { term, last });
@@ -172,20 +172,20 @@
 
     /// Answers whether a vote would be granted.
     fn on_pre_vote(&mut self, now: Time, from: NodeId, term: Epoch, last: Position) {
-        let granted = term > self.hard.term && self.complete(last) && !self.leader_lives(now);
-        let term = if granted { term } else { self.hard.term };
+        let granted = term > self.hard_state.term && self.complete(last) && !self.leader_lives(now);
+        let term = if granted { term } else { self.hard_state.term };
         self.send(from, Message::PreVoteReply { term, granted });
     }
 
     /// Counts an answer to a pre-vote.
     fn on_pre_vote_reply(&mut self, now: Time, from: NodeId, term: Epoch, granted: bool) {
         if !granted {
-            if term > self.hard.term {
+            if term > self.hard_state.term {
                 self.follow(now, term, None);
             }
             return;
         }
-        if self.role == Role::PreCandidate && term.0 == self.hard.term.0 + 1 {
+        if self.role == Role::PreCandidate && term.0 == self.hard_state.term.0 + 1 {
             self.votes.insert(from);
             if self.elected() {
                 self.campaign(now);
@@ -196,20 +196,20 @@
     /// Answers a request for a vote.
     fn on_vote(&mut self, now: Time, from: NodeId, term: Epoch, last: Position) {
         // A replica that was cut off must not depose a leader that works.
-        if self.leader_lives(now) && term > self.hard.term {
+        if self.leader_lives(now) && term > self.hard_state.term {
             return;
         }
-        if term > self.hard.term {
+        if term > self.hard_state.term {
             self.follow(now, term, None);
         }
-        let free = self.hard.vote.is_none_or(|vote| vote == from);
-        let granted = term == self.hard.term && free && self.complete(last);
+        let free = self.hard_state.vote.is_none_or(|vote| vote == from);
+        let granted = term == self.hard_state.term && free && self.complete(last);
         if granted {
-            self.hard_changed |= self.hard.vote.is_none();
-            self.hard.vote = Some(from);
+            self.hard_state_changed |= self.hard_state.vote.is_none();
+            self.hard_state.vote = Some(from);
             self.reset_deadline(now);
         }
-        let term = self.hard.term;
+        let term = self.hard_state.term;
         self.send_when_saved(from, Message::VoteReply { term, granted });
     }
 
@@ -236,11 +236,11 @@
             heartbeat_due: now,
             ..Lead::default()
         };
-        self.out.push(Action::Leads(self.hard.term));
+        self.out.push(Action::BecameLeader(self.hard_state.term));
         // Entries of earlier terms commit with the first entry of this one.
         self.log.push(Entry {
             position: Position {
-                term: self.hard.term,
+                term: self.hard_state.term,
                 index: first,
             },
             payload: Payload::Empty,
--- a/crates/quay_quorum/src/replica/follower.rs
+++ b/crates/quay_quorum/src/replica/follower.rs
@@ -2,7 +2,7 @@
 
 use {
     super::Replica,
-    crate::{Action, AppendOutcome, Entry, Message, Position, SnapshotMark, memory_log::MemoryLog},
+    crate::{Action, AppendOutcome, Entry, Message, Position, SnapshotMeta, memory_log::MemoryLog},
     quay_types::{LogIndex, NodeId},
 };
 
@@ -26,7 +26,7 @@
             self.commit_to(commit.min(matched));
             AppendOutcome::Matched(matched)
         };
-        let term = self.hard.term;
+        let term = self.hard_state.term;
         self.send_when_saved(from, Message::AppendReply { term, outcome });
     }
 
@@ -66,41 +66,41 @@
     /// Answers a heartbeat.
     pub(super) fn on_heartbeat(&mut self, from: NodeId, commit: LogIndex, round: u64) {
         self.commit_to(commit);
-        let term = self.hard.term;
+        let term = self.hard_state.term;
         self.send(from, Message::HeartbeatReply { term, round });
     }
 
     /// Takes a snapshot, if it tells anything new.
-    pub(super) fn on_snapshot(&mut self, from: NodeId, mark: SnapshotMark, data: Box<[u8]>) {
-        let index = mark.position.index;
+    pub(super) fn on_snapshot(&mut self, from: NodeId, meta: SnapshotMeta, data: Box<[u8]>) {
+        let index = meta.position.index;
         if index > self.commit {
-            self.restore(mark, data);
+            self.restore(meta, data);
         }
-        let term = self.hard.term;
+        let term = self.hard_state.term;
         let outcome = AppendOutcome::Matched(index);
         self.send_when_saved(from, Message::AppendReply { term, outcome });
     }
 
     /// Replaces log and state by a snapshot.
-    fn restore(&mut self, mark: SnapshotMark, data: Box<[u8]>) {
-        let index = mark.position.index;
+    fn restore(&mut self, meta: SnapshotMeta, data: Box<[u8]>) {
+        let index = meta.position.index;
         // Entries after an equal one may count towards a quorum: they stay.
-        let keep = self.log.term(index) == Some(mark.position.term);
+        let keep = self.log.term(index) == Some(meta.position.term);
         // A save of earlier entries is handed out before the snapshot.
         self.flush_saves();
         if keep {
             self.log.compact(index);
         } else {
             self.truncate(LogIndex(self.commit.0 + 1));
-            self.log = MemoryLog::new(mark.clone(), []);
+            self.log = MemoryLog::new(meta.clone(), []);
             self.handed = index;
         }
         self.commit = index;
         self.applied = index;
-        let ticket = self.take_ticket(self.handed);
+        let persist_id = self.allocate_persist_id(self.handed);
         self.out.push(Action::Restore {
-            ticket,
-            mark,
+            persist_id,
+            meta,
             data,
             keep,
         });
--- a/crates/quay_quorum/src/replica/leader.rs
+++ b/crates/quay_quorum/src/replica/leader.rs
@@ -49,7 +49,7 @@
         self.lead.round += 1;
         self.lead.read_pending = false;
         self.lead.heartbeat_due = now + self.cfg.heartbeat;
-        let (term, round) = (self.hard.term, self.lead.round);
+        let (term, round) = (self.hard_state.term, self.lead.round);
         for (peer, progress) in &self.lead.progress {
             let message = Message::Heartbeat {
                 term,
@@ -70,7 +70,7 @@
             let before = LogIndex(progress.next.0 - 1);
             let Some(term) = self.log.term(before) else {
                 progress.sending = Sending::Snapshot(now);
-                let term = self.hard.term;
+                let term = self.hard_state.term;
                 self.out.push(Action::SendSnapshot { to: peer, term });
                 break;
             };
@@ -80,12 +80,12 @@
             };
             let entries = self
                 .log
-                .range(before, self.log.last().index, self.cfg.batch_bytes);
+                .range(before, self.log.last().index, self.cfg.max_batch_bytes);
             progress.next.0 += entries.len() as u64;
             progress.unanswered += 1;
             progress.moved = now;
             let message = Message::Append {
-                term: self.hard.term,
+                term: self.hard_state.term,
                 prev,
                 entries,
                 commit: self.commit,
@@ -116,7 +116,8 @@
         match progress.sending {
             Sending::Probe => progress.unanswered == 0,
             Sending::Pipeline => {
-                progress.next <= self.log.last().index && progress.unanswered < self.cfg.window
+                progress.next <= self.log.last().index
+                    && progress.unanswered < self.cfg.max_in_flight
             }
             Sending::Snapshot(_) => false,
         }
@@ -172,13 +173,13 @@
         });
         // An entry of an earlier term may still be replaced although a quorum
         // holds it; it commits with one of this term.
-        if self.log.term(index) != Some(self.hard.term) {
+        if self.log.term(index) != Some(self.hard_state.term) {
             return;
         }
         self.commit_to(index);
         let removed = self.log.members().1.get(self.node).is_none();
         if removed && self.log.members().0 <= self.commit {
-            let term = self.hard.term;
+            let term = self.hard_state.term;
             self.follow(now, term, None);
         }
     }
@@ -226,7 +227,7 @@
     /// Steps down if no quorum has answered for an election timeout.
     pub(super) fn check_quorum(&mut self, now: Time) {
         if now.since(self.quorum_heard(now)) >= self.cfg.election {
-            let term = self.hard.term;
+            let term = self.hard_state.term;
             self.follow(now, term, None);
         }
     }
--- a/crates/quay_quorum/src/replica/mod.rs
+++ b/crates/quay_quorum/src/replica/mod.rs
@@ -7,8 +7,8 @@
 
 use {
     crate::{
-        Action, Entry, HardState, Input, Membership, Message, Mutation, Persist, Position,
-        Settings, SnapshotMark, Ticket, memory_log::MemoryLog, progress::Progress,
+        Action, Entry, HardState, Input, Membership, Message, Mutation, Persist, PersistId,
+        Position, Settings, SnapshotMeta, memory_log::MemoryLog, progress::Progress,
     },
     indexmap::{IndexMap, IndexSet},
     quay_types::{Epoch, LogIndex, NodeId, Time},
@@ -34,11 +34,11 @@
 
 /// What was saved before a restart.
 #[derive(Debug, Clone, Default)]
-pub struct Restart {
+pub struct PersistedState {
     /// Term and vote.
-    pub hard: HardState,
+    pub hard_state: HardState,
     /// The latest snapshot; the default if there is none.
-    pub mark: SnapshotMark,
+    pub meta: SnapshotMeta,
     /// Entries after the snapshot.
     pub entries: Vec<Entry>,
 }
@@ -65,7 +65,7 @@
 /// A message that waits for a save.
 #[derive(Debug, Clone)]
 struct Held {
-    ticket: Ticket,
+    persist_id: PersistId,
     to: NodeId,
     message: Message,
 }
@@ -104,9 +104,9 @@
 pub struct Replica {
     node: NodeId,
     cfg: Settings,
-    hard: HardState,
-    /// Whether `hard` is to be saved.
-    hard_changed: bool,
+    hard_state: HardState,
+    /// Whether `hard_state` is to be saved.
+    hard_state_changed: bool,
     log: MemoryLog,
     role: Role,
     leader: Option<NodeId>,
@@ -122,10 +122,10 @@
     handed: LogIndex,
     /// Last entry that is saved; at most `handed`.
     saved: LogIndex,
-    next_ticket: Ticket,
-    saved_ticket: Ticket,
+    next_persist_id: PersistId,
+    last_persisted_id: PersistId,
     /// Saves that are under way, with the last entry that each covers.
-    saving: VecDeque<(Ticket, LogIndex)>,
+    saving: VecDeque<(PersistId, LogIndex)>,
     held: VecDeque<Held>,
     /// When an election starts unless a leader is heard.
     deadline: Time,
@@ -143,13 +143,13 @@
         seed: u64,
         now: Time,
     ) -> Self {
-        let mark = SnapshotMark {
+        let meta = SnapshotMeta {
             position: Position::default(),
             members,
         };
-        let restart = Restart {
-            mark,
-            ..Restart::default()
+        let restart = PersistedState {
+            meta,
+            ..PersistedState::default()
         };
         Self::restart(node, restart, cfg, seed, now)
     }
@@ -157,20 +157,26 @@
     /// A replica that knows no group yet and waits to be made a learner.
     #[must_use]
     pub fn empty(node: NodeId, cfg: Settings, seed: u64, now: Time) -> Self {
-        Self::restart(node, Restart::default(), cfg, seed, now)
+        Self::restart(node, PersistedState::default(), cfg, seed, now)
     }
 
     /// A replica with what it saved before.
     #[must_use]
-    pub fn restart(node: NodeId, restart: Restart, cfg: Settings, seed: u64, now: Time) -> Self {
-        let start = restart.mark.position.index;
-        let log = MemoryLog::new(restart.mark, restart.entries);
+    pub fn restart(
+        node: NodeId,
+        restart: PersistedState,
+        cfg: Settings,
+        seed: u64,
+        now: Time,
+    ) -> Self {
+        let start = restart.meta.position.index;
+        let log = MemoryLog::new(restart.meta, restart.entries);
         let last = log.last().index;
         let mut replica = Self {
             node,
             cfg,
-            hard: restart.hard,
-            hard_changed: false,
+            hard_state: restart.hard_state,
+            hard_state_changed: false,
             log,
             role: Role::Follower,
             leader: None,
@@ -181,8 +187,8 @@
             applied: start,
             handed: last,
             saved: last,
-            next_ticket: Ticket(1),
-            saved_ticket: Ticket(0),
+            next_persist_id: PersistId(1),
+            last_persisted_id: PersistId(0),
             saving: VecDeque::new(),
             held: VecDeque::new(),
             deadline: now,
@@ -200,7 +206,7 @@
             node: self.node,
             leads: self.role == Role::Leader,
             leader: self.leader,
-            term: self.hard.term,
+            term: self.hard_state.term,
             commit: self.commit,
             last: self.log.last(),
             members: self.log.members().1.clone(),
@@ -209,14 +215,14 @@
 
     /// Whether the replica leads.
     #[must_use]
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         self.role == Role::Leader
     }
 
     /// Term of the replica.
     #[must_use]
     pub const fn term(&self) -> Epoch {
-        self.hard.term
+        self.hard_state.term
     }
 
     /// Last entry known as committed.
@@ -239,21 +245,26 @@
 
     /// Entry before the first one that is kept.
     #[must_use]
-    pub const fn kept_after(&self) -> Position {
+    pub const fn compacted_through(&self) -> Position {
         self.log.base()
     }
 
     /// Hashes all that decides what the replica does next, but for the time.
     pub(crate) fn shape(&self, state: &mut impl Hasher) {
-        (self.hard, self.hard_changed, self.role as u8).hash(state);
+        (self.hard_state, self.hard_state_changed, self.role as u8).hash(state);
         (self.leader, self.commit, self.handed, self.saved).hash(state);
-        (self.next_ticket, self.saved_ticket, self.votes.as_slice()).hash(state);
+        (
+            self.next_persist_id,
+            self.last_persisted_id,
+            self.votes.as_slice(),
+        )
+            .hash(state);
         let entries = self
             .log
             .range(self.log.base().index, self.log.last().index, usize::MAX);
         entries.hash(state);
         for held in &self.held {
-            (held.ticket, held.to, &held.message).hash(state);
+            (held.persist_id, held.to, &held.message).hash(state);
         }
         for (peer, progress) in &self.lead.progress {
             (peer, progress.matched, progress.next, progress.round).hash(state);
@@ -263,12 +274,12 @@
     /// What a snapshot of the state after `index` stands for; `None` if that
     /// entry is not applied or no longer kept.
     #[must_use]
-    pub fn mark(&self, index: LogIndex) -> Option<SnapshotMark> {
+    pub fn snapshot_meta(&self, index: LogIndex) -> Option<SnapshotMeta> {
         if index > self.applied {
             return None;
         }
         let term = self.log.term(index)?;
-        Some(SnapshotMark {
+        Some(SnapshotMeta {
             position: Position { term, index },
             members: self.log.members_at(index).clone(),
         })
@@ -281,9 +292,9 @@
             Input::Message { from, message } => self.message(now, from, message),
             Input::Propose { tag, command } => self.propose(now, tag, command),
             Input::Read { tag } => self.read(now, tag),
-            Input::Change { tag, change } => self.change(now, tag, &change),
-            Input::Persisted(ticket) => self.persisted(now, ticket),
-            Input::Compacted(index) => self.compacted(index),
+            Input::ChangeMembership { tag, change } => self.change(now, tag, &change),
+            Input::Persisted(persist_id) => self.persisted(now, persist_id),
+            Input::SnapshotSaved(index) => self.compacted(index),
         }
         mem::take(&mut self.out)
     }
@@ -311,7 +322,7 @@
 
     /// Whether something is to be saved that was not handed out.
     fn unsaved(&self) -> bool {
-        self.hard_changed || self.handed < self.log.last().index
+        self.hard_state_changed || self.handed < self.log.last().index
     }
 
     /// Hands out the next save.
@@ -321,32 +332,32 @@
         }
         let last = self.log.last().index;
         let persist = Persist {
-            ticket: self.take_ticket(last),
-            hard: mem::take(&mut self.hard_changed).then_some(self.hard),
+            id: self.allocate_persist_id(last),
+            hard_state: mem::take(&mut self.hard_state_changed).then_some(self.hard_state),
             entries: self.log.range(self.handed, last, usize::MAX),
         };
         self.handed = last;
         self.out.push(Action::Persist(persist));
     }
 
-    /// The ticket of a save that covers entries up to `last`.
-    fn take_ticket(&mut self, last: LogIndex) -> Ticket {
-        let ticket = self.next_ticket;
-        self.next_ticket.0 += 1;
-        self.saving.push_back((ticket, last));
-        ticket
+    /// The identifier of a save that covers entries up to `last`.
+    fn allocate_persist_id(&mut self, last: LogIndex) -> PersistId {
+        let persist_id = self.next_persist_id;
+        self.next_persist_id.0 += 1;
+        self.saving.push_back((persist_id, last));
+        persist_id
     }
 
     /// Sends a message once all that it rests on is saved.
     fn send_when_saved(&mut self, to: NodeId, message: Message) {
         // What is not handed out yet goes with the next save.
-        let ticket = Ticket(self.next_ticket.0 - u64::from(!self.unsaved()));
-        let early = self.cfg.mutation == Mutation::AnswerBeforeSave && to != self.node;
-        if ticket <= self.saved_ticket || early {
+        let persist_id = PersistId(self.next_persist_id.0 - u64::from(!self.unsaved()));
+        let early = self.cfg.mutation == Mutation::ReplyBeforePersist && to != self.node;
+        if persist_id <= self.last_persisted_id || early {
             self.send(to, message);
         } else {
             self.held.push_back(Held {
-                ticket,
+                persist_id,
                 to,
                 message,
             });
@@ -354,14 +365,14 @@
     }
 
     /// Takes that a save and all before it are synced.
-    fn persisted(&mut self, now: Time, ticket: Ticket) {
-        self.saved_ticket = self.saved_ticket.max(ticket);
-        while let Some((_, last)) = self.saving.pop_front_if(|(done, _)| *done <= ticket) {
+    fn persisted(&mut self, now: Time, persist_id: PersistId) {
+        self.last_persisted_id = self.last_persisted_id.max(persist_id);
+        while let Some((_, last)) = self.saving.pop_front_if(|(done, _)| *done <= persist_id) {
             self.saved = last;
         }
-        while let Some(held) = self.held.pop_front_if(|held| held.ticket <= ticket) {
+        while let Some(held) = self.held.pop_front_if(|held| held.persist_id <= persist_id) {
             // What was promised in an earlier term no longer holds.
-            if held.message.term() == self.hard.term {
+            if held.message.term() == self.hard_state.term {
                 self.send_or_take(now, held.to, held.message);
             }
         }
@@ -439,7 +450,7 @@
         mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         mixed ^= mixed >> 31;
         let least = match self.leader_heard {
-            None => self.cfg.restart,
+            None => self.cfg.startup_election,
             Some(_) => self.cfg.election,
         };
         let span = u64::try_from(least.as_micros()).unwrap_or(u64::MAX);
--- a/crates/quay_quorum/src/replica/requests.rs
+++ b/crates/quay_quorum/src/replica/requests.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{OpenRead, Replica, Role},
-    crate::{Action, Change, Entry, Mutation, Payload, Position, Refusal},
+    crate::{Action, Entry, MembershipChange, Mutation, Payload, Position, Refusal},
     quay_types::{LogIndex, NodeId, Time},
 };
 
@@ -12,7 +12,7 @@
         if self.role != Role::Leader {
             return Some(Refusal::NotLeader(self.leader));
         }
-        let silent = now.since(self.quorum_heard(now)) >= self.cfg.suspect;
+        let silent = now.since(self.quorum_heard(now)) >= self.cfg.quorum_timeout;
         silent.then_some(Refusal::NoQuorum)
     }
 
@@ -24,7 +24,7 @@
     /// Adds an entry of this term and tells its place.
     fn add(&mut self, tag: u64, payload: Payload) {
         let position = Position {
-            term: self.hard.term,
+            term: self.hard_state.term,
             index: LogIndex(self.log.last().index.0 + 1),
         };
         self.log.push(Entry { position, payload });
@@ -53,7 +53,7 @@
             return self.refuse(tag, Refusal::NotReady);
         }
         let index = self.commit;
-        if self.cfg.mutation == Mutation::ReadAlone {
+        if self.cfg.mutation == Mutation::ReadWithoutQuorum {
             return self.out.push(Action::ReadReady { tag, index });
         }
         let round = self.lead.round + 1;
@@ -62,34 +62,36 @@
     }
 
     /// Takes a change of the members.
-    pub(super) fn change(&mut self, now: Time, tag: u64, change: &Change) {
+    pub(super) fn change(&mut self, now: Time, tag: u64, change: &MembershipChange) {
         if let Some(refusal) = self
             .refusal(now)
             .or_else(|| self.change_refusal(now, change))
         {
             return self.refuse(tag, refusal);
         }
-        match self.log.members().1.after(change) {
+        match self.log.members().1.with_change(change) {
             Some(members) => {
                 self.add(tag, Payload::Members(members));
                 self.sync_progress(now);
             }
-            None => self.refuse(tag, Refusal::BadChange),
+            None => self.refuse(tag, Refusal::InvalidChange),
         }
     }
 
     /// Why a change can't be taken now, if so.
-    fn change_refusal(&self, now: Time, change: &Change) -> Option<Refusal> {
+    fn change_refusal(&self, now: Time, change: &MembershipChange) -> Option<Refusal> {
         // The latest members must be committed, by an entry of this term:
         // otherwise two leaders could change the same members.
         if self.commit < self.lead.first {
             return Some(Refusal::NotReady);
         }
         if self.log.members().0 > self.commit {
-            return Some(Refusal::ChangeOpen);
+            return Some(Refusal::ChangeInProgress);
         }
         match change {
-            Change::Promote(node) if !self.caught_up(now, *node) => Some(Refusal::LearnerBehind),
+            MembershipChange::Promote(node) if !self.caught_up(now, *node) => {
+                Some(Refusal::LearnerBehind)
+            }
             _ => None,
         }
     }
@@ -98,7 +100,7 @@
     fn caught_up(&self, now: Time, node: NodeId) -> bool {
         self.lead.progress.get(&node).is_some_and(|progress| {
             let lag = self.log.last().index.0.saturating_sub(progress.matched.0);
-            lag <= self.cfg.promote_lag && now.since(progress.heard) < self.cfg.election
+            lag <= self.cfg.max_promotion_lag && now.since(progress.heard) < self.cfg.election
         })
     }
 }
--- a/crates/quay_quorum/src/settings.rs
+++ b/crates/quay_quorum/src/settings.rs
@@ -10,11 +10,11 @@
     #[default]
     None,
     /// Answers before entries and votes are saved.
-    AnswerBeforeSave,
+    ReplyBeforePersist,
     /// Answers reads without asking a quorum.
-    ReadAlone,
+    ReadWithoutQuorum,
     /// Grants votes to candidates with less complete logs.
-    VoteForAnyone,
+    IgnoreLogCompleteness,
 }
 
 /// Times and limits of a replica.
@@ -29,21 +29,21 @@
     /// The same for a replica that has heard no leader since it started. Shorter:
     /// the pre-vote keeps it from disturbing one that lives, and after a restart
     /// of all nobody has one.
-    pub restart: Duration,
+    pub startup_election: Duration,
     /// A leader that has heard no quorum for so long refuses new work.
-    pub suspect: Duration,
+    pub quorum_timeout: Duration,
     /// Time after which unanswered entries are sent again.
     pub resend: Duration,
     /// Time after which an unanswered snapshot is sent again.
     pub snapshot_resend: Duration,
     /// Bytes of entries in one message.
-    pub batch_bytes: usize,
+    pub max_batch_bytes: usize,
     /// Messages with entries that may be unanswered by one peer.
-    pub window: u32,
+    pub max_in_flight: u32,
     /// Entries that stay in memory behind a snapshot, for peers that lag a little.
     pub keep_entries: u64,
     /// Entries that a learner may lack when it is promoted.
-    pub promote_lag: u64,
+    pub max_promotion_lag: u64,
     /// A wrong decision, for tests of the checks only.
     pub mutation: Mutation,
 }
@@ -54,14 +54,14 @@
             heartbeat: Duration::from_millis(100),
             election: Duration::from_millis(500),
             // Longer than a vote takes, with its sync.
-            restart: Duration::from_millis(150),
-            suspect: Duration::from_millis(350),
+            startup_election: Duration::from_millis(150),
+            quorum_timeout: Duration::from_millis(350),
             resend: Duration::from_millis(300),
             snapshot_resend: Duration::from_secs(10),
-            batch_bytes: 256 << 10,
-            window: 8,
+            max_batch_bytes: 256 << 10,
+            max_in_flight: 8,
             keep_entries: 4_096,
-            promote_lag: 64,
+            max_promotion_lag: 64,
             mutation: Mutation::None,
         }
     }
--- a/crates/quay_quorum/tests/random_run.rs
+++ b/crates/quay_quorum/tests/random_run.rs
@@ -3,7 +3,7 @@
 use {
     quay_quorum::{
         Mutation, Settings,
-        check::{Report, World, WorldSettings},
+        check::{Report, Simulation, SimulationSettings},
     },
     std::panic::{AssertUnwindSafe, catch_unwind},
 };
@@ -11,8 +11,8 @@
 /// Steps of one run.
 const STEPS: u64 = 30_000;
 
-fn run(seed: u64, cfg: WorldSettings) -> Report {
-    World::new(cfg, seed)
+fn run(seed: u64, cfg: SimulationSettings) -> Report {
+    Simulation::new(cfg, seed)
         .run(STEPS)
         .unwrap_or_else(|broken| panic!("seed {seed}: {broken}"))
 }
@@ -20,13 +20,13 @@
 #[test]
 fn no_rule_is_broken_under_faults() {
     for seed in 0..6 {
-        let report = run(seed, WorldSettings::default());
+        let report = run(seed, SimulationSettings::default());
         println!("seed {seed}: {report:?}");
         // Each fault must have been brought about, or the run shows nothing.
-        assert!(report.answers > 100, "{report:?}");
+        assert!(report.acknowledged > 100, "{report:?}");
         assert!(report.reads > 20, "{report:?}");
         assert!(report.elections > 5, "{report:?}");
-        assert!(report.crashes > 5 && report.cuts > 5, "{report:?}");
+        assert!(report.crashes > 5 && report.partitions > 5, "{report:?}");
     }
 }
 
@@ -36,31 +36,34 @@
         .map(|seed| {
             run(
                 seed,
-                WorldSettings {
+                SimulationSettings {
                     replicas: 5,
-                    ..WorldSettings::default()
+                    ..SimulationSettings::default()
                 },
             )
         })
         .collect();
-    let repairs: u64 = reports.iter().map(|report| report.repairs).sum();
-    let restores: u64 = reports.iter().map(|report| report.restores).sum();
+    let repairs: u64 = reports.iter().map(|report| report.replaced_hosts).sum();
+    let restores: u64 = reports
+        .iter()
+        .map(|report| report.snapshots_installed)
+        .sum();
     assert!(repairs >= 4, "{reports:?}");
     assert!(restores >= 4, "{reports:?}");
 }
 
 #[test]
 fn the_same_seed_gives_the_same_run() {
-    let cfg = WorldSettings::default();
+    let cfg = SimulationSettings::default();
     assert_eq!(run(3, cfg), run(3, cfg));
 }
 
 /// Whether any of a few runs with a broken decision is caught.
 fn caught(mutation: Mutation) -> bool {
     (0..8).any(|seed| {
-        let mut cfg = WorldSettings::default();
+        let mut cfg = SimulationSettings::default();
         cfg.replica.mutation = mutation;
-        let ran = catch_unwind(AssertUnwindSafe(|| World::new(cfg, seed).run(STEPS)));
+        let ran = catch_unwind(AssertUnwindSafe(|| Simulation::new(cfg, seed).run(STEPS)));
         !matches!(ran, Ok(Ok(_)))
     })
 }
@@ -68,15 +71,16 @@
 #[test]
 fn broken_decisions_are_caught() {
     assert!(!caught(Mutation::None));
-    assert!(caught(Mutation::AnswerBeforeSave));
-    assert!(caught(Mutation::ReadAlone));
-    assert!(caught(Mutation::VoteForAnyone));
+    assert!(caught(Mutation::ReplyBeforePersist));
+    assert!(caught(Mutation::ReadWithoutQuorum));
+    assert!(caught(Mutation::IgnoreLogCompleteness));
 }
 
 #[test]
 fn every_order_of_events_holds_the_rules_to_a_depth() {
-    let explored = quay_quorum::check::explore(Settings::default(), 5, 20_000).expect("rules hold");
-    println!("{explored:?}");
-    assert!(explored.states > 3_000, "{explored:?}");
-    assert!(explored.commits >= 1, "{explored:?}");
+    let exploration =
+        quay_quorum::check::explore(Settings::default(), 5, 20_000).expect("rules hold");
+    println!("{exploration:?}");
+    assert!(exploration.states > 3_000, "{exploration:?}");
+    assert!(exploration.commits >= 1, "{exploration:?}");
 }
--- a/crates/quay_quorum/tests/replica.rs
+++ b/crates/quay_quorum/tests/replica.rs
@@ -2,8 +2,8 @@
 
 use {
     quay_quorum::{
-        Action, Advice, Change, Input, Member, Membership, Message, Position, Refusal, Replica,
-        Settings, placement,
+        Action, Input, Member, Membership, MembershipChange, Message, PlacementAdvice, Position,
+        Refusal, Replica, Settings, placement_advice,
     },
     quay_types::{Epoch, LogIndex, NodeId, Time},
     std::time::Duration,
@@ -15,7 +15,7 @@
 }
 
 fn three() -> Membership {
-    Membership::of_voters([member(1, "a"), member(2, "b"), member(3, "c")])
+    Membership::from_voters([member(1, "a"), member(2, "b"), member(3, "c")])
 }
 
 /// Gives an input and carries out every save at once.
@@ -25,12 +25,12 @@
     let tickets: Vec<_> = actions
         .iter()
         .filter_map(|action| match action {
-            Action::Persist(persist) => Some(persist.ticket),
+            Action::Persist(persist) => Some(persist.id),
             _ => None,
         })
         .collect();
-    for ticket in tickets {
-        actions.extend(step(replica, now, Input::Persisted(ticket)));
+    for persist_id in tickets {
+        actions.extend(step(replica, now, Input::Persisted(persist_id)));
     }
     actions
 }
@@ -58,7 +58,7 @@
         now,
         message(2, Message::VoteReply { term, granted }),
     );
-    assert!(replica.leads());
+    assert!(replica.is_leader());
     (replica, now)
 }
 
@@ -79,7 +79,7 @@
         command: [1].into(),
     };
     assert!(refusals(&step(&mut replica, now, command())).is_empty());
-    let later = now + cfg.suspect;
+    let later = now + cfg.quorum_timeout;
     assert_eq!(
         refusals(&step(&mut replica, later, command())),
         [Refusal::NoQuorum]
@@ -105,7 +105,7 @@
     let [Action::Persist(persist)] = &actions[..] else {
         panic!("{actions:?}");
     };
-    let answer = replica.step(Time::ZERO, Input::Persisted(persist.ticket));
+    let answer = replica.step(Time::ZERO, Input::Persisted(persist.id));
     let (term, granted) = (Epoch(1), true);
     let expected = Action::Send {
         to: NodeId(1),
@@ -184,9 +184,9 @@
 #[test]
 fn members_change_one_at_a_time() {
     let (mut replica, now) = leader();
-    let add = |node| Input::Change {
+    let add = |node| Input::ChangeMembership {
         tag: 1,
-        change: Change::AddLearner(member(node, "a")),
+        change: MembershipChange::AddLearner(member(node, "a")),
     };
     assert_eq!(
         refusals(&step(&mut replica, now, add(4))),
@@ -206,12 +206,12 @@
     assert_eq!(refusals(&step(&mut replica, now, add(4))), []);
     assert_eq!(
         refusals(&step(&mut replica, now, add(5))),
-        [Refusal::ChangeOpen]
+        [Refusal::ChangeInProgress]
     );
     step(&mut replica, now, matched(2));
-    let promote = Input::Change {
+    let promote = Input::ChangeMembership {
         tag: 1,
-        change: Change::Promote(NodeId(9)),
+        change: MembershipChange::Promote(NodeId(9)),
     };
     assert_eq!(
         refusals(&step(&mut replica, now, promote)),
@@ -219,23 +219,23 @@
     );
     assert_eq!(
         refusals(&step(&mut replica, now, add(4))),
-        [Refusal::BadChange]
+        [Refusal::InvalidChange]
     );
 }
 
 #[test]
 fn placement_names_what_a_lost_data_centre_takes_along() {
-    assert_eq!(placement(&three()), []);
-    assert_eq!(placement(&Membership::default()), []);
-    let two_in_one = Membership::of_voters([member(1, "a"), member(2, "a"), member(3, "b")]);
+    assert_eq!(placement_advice(&three()), []);
+    assert_eq!(placement_advice(&Membership::default()), []);
+    let two_in_one = Membership::from_voters([member(1, "a"), member(2, "a"), member(3, "b")]);
     let data_centre = "a".into();
     assert_eq!(
-        placement(&two_in_one),
-        [Advice::Concentrated {
+        placement_advice(&two_in_one),
+        [PlacementAdvice::Concentrated {
             data_centre,
             voters: 2
         }]
     );
-    let four = Membership::of_voters([1, 2, 3, 4].map(|node| member(node, &format!("{node}"))));
-    assert_eq!(placement(&four), [Advice::Even(4)]);
+    let four = Membership::from_voters([1, 2, 3, 4].map(|node| member(node, &format!("{node}"))));
+    assert_eq!(placement_advice(&four), [PlacementAdvice::EvenVoters(4)]);
 }
--- a/crates/sapphirequay/src/group.rs
+++ b/crates/sapphirequay/src/group.rs
@@ -3,7 +3,7 @@
 use {
     gumdrop::Options,
     quay_link::{KeyFiles, LinkRole, Links},
-    quay_quorum::{Change, Member, Membership, placement},
+    quay_quorum::{Member, Membership, MembershipChange, placement_advice},
     quay_types::{GroupId, NodeId},
     sapphirequayd::{LinkRequest, QuorumReply, QuorumRequest},
     std::{error::Error, net::SocketAddr, path::PathBuf},
@@ -79,13 +79,13 @@
         Some(GroupCommand::Add(add)) => {
             let addr = add.addr.ok_or("the link address of the host is needed")?;
             let member = Member::new(NodeId(add.node), addr, add.data_centre);
-            QuorumRequest::Change(group, Change::AddLearner(member))
+            QuorumRequest::Change(group, MembershipChange::AddLearner(member))
         }
         Some(GroupCommand::Promote(of)) => {
-            QuorumRequest::Change(group, Change::Promote(NodeId(of.node)))
+            QuorumRequest::Change(group, MembershipChange::Promote(NodeId(of.node)))
         }
         Some(GroupCommand::Remove(of)) => {
-            QuorumRequest::Change(group, Change::Remove(NodeId(of.node)))
+            QuorumRequest::Change(group, MembershipChange::Remove(NodeId(of.node)))
         }
         None => return Err("a command is needed; see --help".into()),
     };
@@ -143,7 +143,7 @@
             member.node, member.addr, member.data_centre
         );
     }
-    for advice in placement(members) {
+    for advice in placement_advice(members) {
         println!("advice=\"{advice}\"");
     }
 }
--- a/crates/sapphirequayd/src/gateway/control/host.rs
+++ b/crates/sapphirequayd/src/gateway/control/host.rs
@@ -19,7 +19,7 @@
         wire::LinkRequest,
     },
     quay_link::{LinkRole, Links},
-    quay_quorum::{Change, Member, Status},
+    quay_quorum::{Member, MembershipChange, Status},
     quay_routes::Dialect,
     quay_turns::StoreChange,
     quay_types::{Announcement, NodeId, Time},
@@ -431,7 +431,7 @@
         }
     }
 
-    async fn change(&self, change: Change) -> Option<Result<(), ChangeError>> {
+    async fn change(&self, change: MembershipChange) -> Option<Result<(), ChangeError>> {
         self.ask_group(|reply| GroupMsg::Change { change, reply })
             .await
     }
--- a/crates/sapphirequayd/src/gateway/control/members.rs
+++ b/crates/sapphirequayd/src/gateway/control/members.rs
@@ -1,7 +1,7 @@
 //! Which replicas belong to the control group.
 
 use {
-    quay_quorum::{Change, Member, Membership},
+    quay_quorum::{Member, Membership, MembershipChange},
     quay_types::NodeId,
 };
 
@@ -24,12 +24,12 @@
 /// has lost its disk and takes that member's place; any other takes the place
 /// of a silent voter, or a free one.
 #[must_use]
-pub fn next_change(view: &MembersView<'_>) -> Option<Change> {
+pub fn next_change(view: &MembersView<'_>) -> Option<MembershipChange> {
     let members = view.members;
     if let Some(learner) = members.learners.first() {
         let joins = view.joining.iter().any(|it| it.node == learner.node);
         if !joins {
-            return Some(Change::Remove(learner.node));
+            return Some(MembershipChange::Remove(learner.node));
         }
         let replaced = members.voters.iter().find(|it| it.addr == learner.addr);
         let full = members.voters.len() >= view.voters;
@@ -41,8 +41,8 @@
         };
         let out = replaced.or_else(|| full.then(silent).flatten());
         return Some(match out {
-            Some(out) if members.voters.len() > 1 => Change::Remove(out.node),
-            _ => Change::Promote(learner.node),
+            Some(out) if members.voters.len() > 1 => MembershipChange::Remove(out.node),
+            _ => MembershipChange::Promote(learner.node),
         });
     }
     let newcomer = view.joining.iter().find(|it| {
@@ -51,5 +51,5 @@
         let room = members.voters.len() < view.voters || !view.silent.is_empty();
         !member && (replaces || room)
     })?;
-    Some(Change::AddLearner(newcomer.clone()))
+    Some(MembershipChange::AddLearner(newcomer.clone()))
 }
--- a/crates/sapphirequayd/src/process/group/backup.rs
+++ b/crates/sapphirequayd/src/process/group/backup.rs
@@ -6,7 +6,7 @@
         DiskFolder, Folder as _, Hard, Log, LogError, LogSettings, Record, UNFINISHED,
         save_snapshot,
     },
-    quay_quorum::{Entry, Member, Membership, Payload, SnapshotMark},
+    quay_quorum::{Entry, Member, Membership, Payload, SnapshotMeta},
     quay_types::{LogIndex, NodeId},
     rand::Rng as _,
     std::{
@@ -97,7 +97,7 @@
     data_centre: &str,
 ) -> Result<NodeId, BackupError> {
     let node = storage::draw_node(rand::rng().next_u64());
-    let members = Membership::of_voters([Member::new(node, addr, data_centre)]);
+    let members = Membership::from_voters([Member::new(node, addr, data_centre)]);
     make(to)?;
     for name in group_names(from)? {
         restore_group(&from.join(&*name), &to.join(&*name), &members)?;
@@ -178,16 +178,16 @@
     let opened = open(from)?;
     make(to)?;
     let folder = DiskFolder::open(to).map_err(BackupError::io(to))?;
-    let mark = SnapshotMark {
-        position: opened.restart.mark.position,
+    let meta = SnapshotMeta {
+        position: opened.restart.meta.position,
         members: members.clone(),
     };
     let write = || {
         if let Some(state) = opened.state {
-            save_snapshot(&folder, &storage::snapshot_of(&mark, state)?)?;
+            save_snapshot(&folder, &storage::snapshot_of(&meta, state)?)?;
         }
         let (mut log, _) = Log::open(folder.clone(), LogSettings::default())?;
-        let term = opened.restart.hard.term;
+        let term = opened.restart.hard_state.term;
         log.append(&[Record::Hard(Hard { term, vote: None })])?;
         for entries in opened.restart.entries.chunks(RESTORE_BATCH) {
             let records: Result<Vec<Record>, LogError> =
--- a/crates/sapphirequayd/src/process/group/disk.rs
+++ b/crates/sapphirequayd/src/process/group/disk.rs
@@ -2,7 +2,7 @@
 
 use {
     quay_log::{DiskFolder, Hard, Log, LogError, Record, Snapshot, save_snapshot},
-    quay_quorum::{Persist, Ticket},
+    quay_quorum::{Persist, PersistId},
     quay_types::LogIndex,
     std::sync::mpsc::Receiver,
 };
@@ -15,7 +15,7 @@
     /// Replace all that is saved by a snapshot of the leader.
     Restore {
         /// Number of the save.
-        ticket: Ticket,
+        ticket: PersistId,
         /// The snapshot.
         snapshot: Box<Snapshot>,
         /// Whether entries after the snapshot stay.
@@ -30,7 +30,7 @@
     log: &mut Log<DiskFolder>,
     jobs: &Receiver<DiskJob>,
     sync_each: bool,
-    synced: impl Fn(Ticket),
+    synced: impl Fn(PersistId),
 ) -> Result<(), LogError> {
     let mut batch = Batch {
         sync_each,
@@ -50,7 +50,7 @@
 #[derive(Default)]
 struct Batch {
     records: Vec<Record>,
-    ticket: Option<Ticket>,
+    ticket: Option<PersistId>,
     /// Whether each record is a frame of its own.
     sync_each: bool,
 }
@@ -61,7 +61,7 @@
         &mut self,
         log: &mut Log<DiskFolder>,
         job: DiskJob,
-        synced: &impl Fn(Ticket),
+        synced: &impl Fn(PersistId),
     ) -> Result<(), LogError> {
         match job {
             DiskJob::Save(persist) => self.add(persist),
@@ -87,8 +87,8 @@
 
     /// Adds the records of a save.
     fn add(&mut self, persist: Persist) -> Result<(), LogError> {
-        self.ticket = Some(persist.ticket);
-        if let Some(hard) = persist.hard {
+        self.ticket = Some(persist.id);
+        if let Some(hard) = persist.hard_state {
             self.records.push(Record::Hard(Hard {
                 term: hard.term,
                 vote: hard.vote,
@@ -110,7 +110,7 @@
     fn flush(
         &mut self,
         log: &mut Log<DiskFolder>,
-        synced: &impl Fn(Ticket),
+        synced: &impl Fn(PersistId),
     ) -> Result<(), LogError> {
         let Some(ticket) = self.ticket.take() else {
             return Ok(());
--- a/crates/sapphirequayd/src/process/group/host.rs
+++ b/crates/sapphirequayd/src/process/group/host.rs
@@ -18,8 +18,8 @@
     quay_link::{Incoming, Links},
     quay_log::{DiskFolder, Log, LogError},
     quay_quorum::{
-        Change, Member, Membership, Message, Replica, Settings as QuorumSettings, StateMachine,
-        Status,
+        Member, Membership, MembershipChange, Message, Replica, Settings as QuorumSettings,
+        StateMachine, Status,
     },
     quay_types::{GroupId, NodeId},
     rand::Rng as _,
@@ -43,7 +43,7 @@
 enum Inbound {
     Peer(GroupEvent),
     Status(mpsc::SyncSender<Option<Status>>),
-    Change(Change, mpsc::SyncSender<Result<(), ChangeError>>),
+    Change(MembershipChange, mpsc::SyncSender<Result<(), ChangeError>>),
 }
 
 /// Replicas of one host.
@@ -157,7 +157,7 @@
             let state = postcard::from_bytes(state);
             machine.restore(state.map_err(|err| log_error(LogError::Encode(err)))?);
         }
-        self.check_addr(group, node, &opened.restart.mark.members);
+        self.check_addr(group, node, &opened.restart.meta.members);
         let (seed, now) = (rand::rng().next_u64(), self.clock.now());
         let replica = Replica::restart(node, opened.restart, self.quorum, seed, now);
         let peers = Peers::new(
@@ -216,7 +216,7 @@
         let members =
             members.map(|peer| Member::new(NodeId(peer.node), peer.addr, peer.data_centre.clone()));
         Ok(Some(First {
-            members: Membership::of_voters(members),
+            members: Membership::from_voters(members),
             state: state.into(),
         }))
     }
--- a/crates/sapphirequayd/src/process/group/mod.rs
+++ b/crates/sapphirequayd/src/process/group/mod.rs
@@ -23,7 +23,7 @@
 };
 
 use {
-    quay_quorum::{Change, Message, StateMachine, Status, Ticket},
+    quay_quorum::{MembershipChange, Message, PersistId, StateMachine, Status},
     quay_types::{LogIndex, NodeId},
     std::{net::SocketAddr, sync::mpsc::SyncSender},
 };
@@ -58,7 +58,7 @@
     /// Change the members; answered once the change is committed.
     Change {
         /// The change.
-        change: Change,
+        change: MembershipChange,
         /// Takes the answer.
         reply: SyncSender<Result<(), ChangeError>>,
     },
@@ -92,7 +92,7 @@
         message: Box<Message>,
     },
     /// This save and all before it are synced.
-    Persisted(Ticket),
+    Persisted(PersistId),
     /// A snapshot of the state after an entry is synced.
     Compacted(LogIndex),
     /// A snapshot could not be saved; the log goes on growing.
--- a/crates/sapphirequayd/src/process/group/replicated.rs
+++ b/crates/sapphirequayd/src/process/group/replicated.rs
@@ -10,7 +10,8 @@
     },
     crate::process::Machine,
     quay_quorum::{
-        Action, Entry, Input, Payload, Refusal, Replica, SnapshotMark, StateMachine, placement,
+        Action, Entry, Input, Payload, Refusal, Replica, SnapshotMeta, StateMachine,
+        placement_advice,
     },
     quay_types::{Epoch, GroupId, LogIndex, NodeId, Time},
     std::{
@@ -94,7 +95,7 @@
         for member in status.members.all() {
             outside.peers.learn(member.node, member.addr);
         }
-        for advice in placement(&status.members) {
+        for advice in placement_advice(&status.members) {
             log::warn!("event=placement group={group} advice=\"{advice}\"");
         }
         Self {
@@ -167,11 +168,13 @@
     fn change(
         &mut self,
         now: Time,
-        change: quay_quorum::Change,
+        change: quay_quorum::MembershipChange,
         reply: SyncSender<Result<(), ChangeError>>,
     ) {
         let tag = self.take_tag();
-        let actions = self.replica.step(now, Input::Change { tag, change });
+        let actions = self
+            .replica
+            .step(now, Input::ChangeMembership { tag, change });
         match outcome(&actions) {
             Ok((index, term)) => self.waiting.propose(index, term, Waiter::Change(reply)),
             Err(refusal) => {
@@ -198,8 +201,8 @@
             },
             Refusal::NoQuorum => "no quorum answers".into(),
             Refusal::NotReady => "the leader is new; ask again".into(),
-            Refusal::ChangeOpen => "another change is not committed yet".into(),
-            Refusal::BadChange => "the change does not fit the members".into(),
+            Refusal::ChangeInProgress => "another change is not committed yet".into(),
+            Refusal::InvalidChange => "the change does not fit the members".into(),
             Refusal::LearnerBehind => "the learner lacks entries or is silent".into(),
         }
     }
@@ -228,18 +231,18 @@
                     }
                 }
                 Action::Restore {
-                    ticket,
-                    mark,
+                    persist_id,
+                    meta,
                     data,
                     keep,
-                } => self.restore(ticket, &mark, data, keep),
+                } => self.restore(persist_id, &meta, data, keep),
                 Action::Apply(entries) => entries.into_iter().for_each(|entry| self.apply(entry)),
                 Action::ReadReady { tag, .. } => self.waiting.confirmed(tag, &self.machine),
                 Action::Refused { tag, refusal } => {
                     let err = self.error(refusal);
                     self.waiting.refused(tag, err);
                 }
-                Action::Leads(term) => {
+                Action::BecameLeader(term) => {
                     log::info!("event=leads group={} term={term}", self.group);
                 }
                 Action::SteppedDown => {
@@ -273,7 +276,7 @@
                         outside.peers.learn(member.node, member.addr);
                     }
                 }
-                for advice in placement(&members) {
+                for advice in placement_advice(&members) {
                     log::warn!("event=placement group={} advice=\"{advice}\"", self.group);
                 }
                 if let Some(Waiter::Change(reply)) = waiter {
@@ -306,8 +309,8 @@
     /// Takes a snapshot of the leader as the state.
     fn restore(
         &mut self,
-        ticket: quay_quorum::Ticket,
-        mark: &SnapshotMark,
+        ticket: quay_quorum::PersistId,
+        meta: &SnapshotMeta,
         data: Box<[u8]>,
         keep: bool,
     ) {
@@ -315,13 +318,13 @@
             Ok(state) => state,
             Err(err) => return self.fault(&format!("the snapshot does not decode: {err}")),
         };
-        let snapshot = match super::storage::snapshot_of(mark, data) {
+        let snapshot = match super::storage::snapshot_of(meta, data) {
             Ok(snapshot) => Box::new(snapshot),
             Err(err) => return self.fault(&err.to_string()),
         };
         self.machine.restore(state);
-        self.applied = mark.position.index;
-        let (group, index) = (self.group, mark.position.index);
+        self.applied = meta.position.index;
+        let (group, index) = (self.group, meta.position.index);
         log::info!("event=restored group={group} index={index}");
         self.tell_disk(DiskJob::Restore {
             ticket,
@@ -337,11 +340,12 @@
         if !due || self.since.saving {
             return;
         }
-        let (Some(mark), Some(outside)) = (self.replica.mark(self.applied), &self.outside) else {
+        let (Some(meta), Some(outside)) = (self.replica.snapshot_meta(self.applied), &self.outside)
+        else {
             return;
         };
         let state = self.machine.snapshot();
-        let _ = outside.snapshots.send(SnapshotJob::Save(mark, state));
+        let _ = outside.snapshots.send(SnapshotJob::Save(meta, state));
         self.since = SinceSnapshot {
             saving: true,
             ..SinceSnapshot::default()
@@ -386,7 +390,7 @@
             GroupEvent::Persisted(ticket) => self.step(now, Input::Persisted(ticket)),
             GroupEvent::Compacted(index) => {
                 self.since.saving = false;
-                self.step(now, Input::Compacted(index));
+                self.step(now, Input::SnapshotSaved(index));
             }
             GroupEvent::SnapshotFailed => self.since.saving = false,
             GroupEvent::DiskFailed(cause) => self.fault(&cause),
--- a/crates/sapphirequayd/src/process/group/request.rs
+++ b/crates/sapphirequayd/src/process/group/request.rs
@@ -1,7 +1,7 @@
 //! Messages about groups between hosts, and from operators.
 
 use {
-    quay_quorum::{Change, Membership},
+    quay_quorum::{Membership, MembershipChange},
     quay_types::{Epoch, GroupId, LogIndex, NodeId},
     serde::{Deserialize, Serialize},
     std::net::SocketAddr,
@@ -25,7 +25,7 @@
     /// Asks how the replica of a group stands.
     Status(GroupId),
     /// Asks for a change of the members.
-    Change(GroupId, Change),
+    Change(GroupId, MembershipChange),
 }
 
 /// Answer to [`QuorumRequest::Status`] and [`QuorumRequest::Change`].
--- a/crates/sapphirequayd/src/process/group/snapshots.rs
+++ b/crates/sapphirequayd/src/process/group/snapshots.rs
@@ -3,7 +3,7 @@
 use {
     super::{disk::DiskJob, peers::Peers, storage},
     quay_log::{DiskFolder, LogError, save_snapshot},
-    quay_quorum::{Message, SnapshotMark},
+    quay_quorum::{Message, SnapshotMeta},
     quay_types::{Epoch, LogIndex, NodeId},
     serde::Serialize,
     std::sync::mpsc::{Receiver, Sender},
@@ -13,7 +13,7 @@
 #[derive(Debug)]
 pub enum SnapshotJob<S> {
     /// Save the state after an entry.
-    Save(SnapshotMark, S),
+    Save(SnapshotMeta, S),
     /// Send the latest snapshot to a peer that lacks entries.
     Send {
         /// The peer.
@@ -43,9 +43,9 @@
     ) {
         while let Ok(job) = jobs.recv() {
             match job {
-                SnapshotJob::Save(mark, state) => {
-                    let index = mark.position.index;
-                    let done = self.save(&mark, &state);
+                SnapshotJob::Save(meta, state) => {
+                    let index = meta.position.index;
+                    let done = self.save(&meta, &state);
                     if let Err(err) = &done {
                         log::error!("event=snapshot_failed index={index} cause={err:?}");
                     }
@@ -57,9 +57,9 @@
     }
 
     /// Saves a snapshot and lets the log drop what it covers.
-    fn save(&self, mark: &SnapshotMark, state: &impl Serialize) -> Result<(), LogError> {
+    fn save(&self, meta: &SnapshotMeta, state: &impl Serialize) -> Result<(), LogError> {
         let data = postcard::to_stdvec(state).map_err(LogError::Encode)?;
-        let snapshot = storage::snapshot_of(mark, data.into())?;
+        let snapshot = storage::snapshot_of(meta, data.into())?;
         save_snapshot(&self.folder, &snapshot)?;
         let _ = self.disk.send(DiskJob::Compact(snapshot.index));
         Ok(())
@@ -68,13 +68,13 @@
     /// Sends the latest snapshot.
     fn send(&self, to: NodeId, term: Epoch) {
         match storage::latest_snapshot(&self.folder) {
-            Ok(Some(storage::Stored { mark, data })) => {
-                let index = mark.position.index;
+            Ok(Some(storage::Stored { meta, data })) => {
+                let index = meta.position.index;
                 log::info!(
                     "event=snapshot_sent peer={to} index={index} bytes={}",
                     data.len()
                 );
-                self.peers.send(to, Message::Snapshot { term, mark, data });
+                self.peers.send(to, Message::Snapshot { term, meta, data });
             }
             Ok(None) => log::error!("event=snapshot_missing peer={to}"),
             Err(err) => log::error!("event=snapshot_unreadable peer={to} cause={err:?}"),
--- a/crates/sapphirequayd/src/process/group/storage.rs
+++ b/crates/sapphirequayd/src/process/group/storage.rs
@@ -5,7 +5,7 @@
         DiskFolder, Folder as _, Log, LogEntry, LogError, LogSettings, Recovered, Snapshot,
         read_newest_snapshot, read_whole, save_snapshot, save_whole,
     },
-    quay_quorum::{Entry, HardState, Membership, Position, Restart, SnapshotMark},
+    quay_quorum::{Entry, HardState, Membership, PersistedState, Position, SnapshotMeta},
     quay_types::{LogIndex, NodeId},
 };
 
@@ -37,31 +37,31 @@
 }
 
 /// The stored form of a snapshot.
-pub fn snapshot_of(mark: &SnapshotMark, data: Box<[u8]>) -> Result<Snapshot, LogError> {
-    let head = postcard::to_stdvec(&mark.members).map_err(LogError::Encode)?;
+pub fn snapshot_of(meta: &SnapshotMeta, data: Box<[u8]>) -> Result<Snapshot, LogError> {
+    let head = postcard::to_stdvec(&meta.members).map_err(LogError::Encode)?;
     Ok(Snapshot {
-        index: mark.position.index,
-        term: mark.position.term,
+        index: meta.position.index,
+        term: meta.position.term,
         head: head.into(),
         data,
     })
 }
 
 /// What a stored snapshot stands for.
-fn mark_of(snapshot: &Snapshot) -> Result<SnapshotMark, LogError> {
+fn meta_of(snapshot: &Snapshot) -> Result<SnapshotMeta, LogError> {
     let members: Membership = postcard::from_bytes(&snapshot.head).map_err(LogError::Encode)?;
     let position = Position {
         term: snapshot.term,
         index: snapshot.index,
     };
-    Ok(SnapshotMark { position, members })
+    Ok(SnapshotMeta { position, members })
 }
 
 /// A snapshot that was read.
 #[derive(Debug)]
 pub struct Stored {
     /// What it stands for.
-    pub mark: SnapshotMark,
+    pub meta: SnapshotMeta,
     /// The encoded state.
     pub data: Box<[u8]>,
 }
@@ -70,7 +70,7 @@
 pub fn latest_snapshot(folder: &DiskFolder) -> Result<Option<Stored>, LogError> {
     match read_newest_snapshot(folder)? {
         Some(snapshot) => Ok(Some(Stored {
-            mark: mark_of(&snapshot)?,
+            meta: meta_of(&snapshot)?,
             data: snapshot.data,
         })),
         None => Ok(None),
@@ -92,7 +92,7 @@
     /// The log.
     pub log: Log<DiskFolder>,
     /// What the replica starts from.
-    pub restart: Restart,
+    pub restart: PersistedState,
     /// Encoded state of the snapshot, if there is one.
     pub state: Option<Box<[u8]>>,
 }
@@ -101,7 +101,7 @@
     /// Last entry of the log.
     pub fn restart_last(&self) -> LogIndex {
         let last = self.restart.entries.last().map(Entry::index);
-        last.unwrap_or(self.restart.mark.position.index)
+        last.unwrap_or(self.restart.meta.position.index)
     }
 }
 
@@ -119,34 +119,34 @@
     }
     let new = recovered.snapshot.is_none() && recovered.entries.is_empty();
     if let (true, Some(first)) = (new, first) {
-        let mark = SnapshotMark {
+        let meta = SnapshotMeta {
             position: Position::default(),
             members: first.members,
         };
-        let snapshot = snapshot_of(&mark, first.state)?;
+        let snapshot = snapshot_of(&meta, first.state)?;
         save_snapshot(folder, &snapshot)?;
         recovered.snapshot = Some(snapshot);
     }
-    let mark = match &recovered.snapshot {
-        Some(snapshot) => mark_of(snapshot)?,
-        None => SnapshotMark::default(),
+    let meta = match &recovered.snapshot {
+        Some(snapshot) => meta_of(snapshot)?,
+        None => SnapshotMeta::default(),
     };
     Ok(Opened {
         log,
-        restart: restart_of(&recovered, mark)?,
+        restart: restart_of(&recovered, meta)?,
         state: recovered.snapshot.map(|snapshot| snapshot.data),
     })
 }
 
 /// What a replica starts from.
-fn restart_of(recovered: &Recovered, mark: SnapshotMark) -> Result<Restart, LogError> {
+fn restart_of(recovered: &Recovered, meta: SnapshotMeta) -> Result<PersistedState, LogError> {
     let entries: Result<Vec<Entry>, LogError> = recovered.entries.iter().map(entry_of).collect();
-    Ok(Restart {
-        hard: HardState {
+    Ok(PersistedState {
+        hard_state: HardState {
             term: recovered.hard.term,
             vote: recovered.hard.vote,
         },
-        mark,
+        meta,
         entries: entries?,
     })
 }
--- a/crates/sapphirequayd/tests/gateway_parts.rs
+++ b/crates/sapphirequayd/tests/gateway_parts.rs
@@ -3,7 +3,7 @@
 use {
     bytes::Bytes,
     proptest::prelude::*,
-    quay_quorum::{Change, Member, Membership, StateMachine as _},
+    quay_quorum::{Member, Membership, MembershipChange, StateMachine as _},
     quay_types::{Epoch, Incarnation, LogIndex, NodeId, Time, TurnId},
     sapphirequayd::{
         Chains, ControlCommand, ControlState, Detour, EventReader, MembersView, Starting,
@@ -116,7 +116,7 @@
 }
 
 fn three() -> Membership {
-    Membership::of_voters([member(1, 1), member(2, 2), member(3, 3)])
+    Membership::from_voters([member(1, 1), member(2, 2), member(3, 3)])
 }
 
 /// Carries out changes until none is due.
@@ -131,7 +131,7 @@
         let Some(change) = next_change(&view) else {
             return members;
         };
-        members = members.after(&change).expect("a change that fits");
+        members = members.with_change(&change).expect("a change that fits");
     }
     panic!("it never settles: {members:?}");
 }
@@ -166,7 +166,10 @@
         silent: &[],
         voters: 3,
     };
-    assert_eq!(next_change(&view), Some(Change::Remove(NodeId(9))));
+    assert_eq!(
+        next_change(&view),
+        Some(MembershipChange::Remove(NodeId(9)))
+    );
 }
 
 // ---------------------------------------------------------------------------
--- a/crates/sapphirequayd/tests/groups.rs
+++ b/crates/sapphirequayd/tests/groups.rs
@@ -6,7 +6,7 @@
 use {
     ports::free_port,
     quay_link::{DevelopmentKeys, LinkRole, LinkSettings, Links},
-    quay_quorum::{Change, Member, StateMachine},
+    quay_quorum::{Member, MembershipChange, StateMachine},
     quay_types::{Epoch, GroupId, LogIndex, NodeId},
     sapphirequayd::{
         Clock, GroupError, GroupHost, GroupLimits, GroupMsg, LedgerSettings, LinkRequest, Mailbox,
@@ -179,7 +179,7 @@
     }
 
     /// Changes members at whoever leads.
-    fn change(&self, change: &Change) {
+    fn change(&self, change: &MembershipChange) {
         let started = Instant::now();
         loop {
             for host in &self.hosts {
@@ -289,9 +289,9 @@
     assert_ne!(node, lost_node);
     three.hosts.push(new);
     let member = Member::new(node, addr, "dc-2");
-    three.change(&Change::AddLearner(member));
-    three.change(&Change::Promote(node));
-    three.change(&Change::Remove(lost_node));
+    three.change(&MembershipChange::AddLearner(member));
+    three.change(&MembershipChange::Promote(node));
+    three.change(&MembershipChange::Remove(lost_node));
     // The new member makes the quorum with one of the old ones.
     let leader = three.add(121);
     let old = (0..2).find(|slot| *slot != leader).expect("an old member");
