--- a/crates/quay_experiment/src/capacity/members.rs
+++ b/crates/quay_experiment/src/capacity/members.rs
@@ -2,7 +2,9 @@
 
 use {
     crate::capacity::{Slope, ledger::as_f64, slope::least_us},
-    quay_members::{Directory, Heartbeat, MembersReply, MembersRequest, MembersSettings, View},
+    quay_members::{
+        Directory, DirectoryView, Heartbeat, MembersReply, MembersRequest, MembersSettings,
+    },
     quay_types::{
         Announcement, Incarnation, Load, ModelId, Time, UpstreamId, UpstreamKind, UpstreamState,
     },
@@ -73,16 +75,16 @@
 /// Bytes of one read of the directory after every load has changed.
 fn read_bytes(upstreams: u32) -> f64 {
     let mut directory = directory(upstreams, Time::ZERO);
-    let mut view = View::default();
+    let mut view = DirectoryView::default();
     let mut now = Time::ZERO;
     // The first reads take the lines; the last one takes changed loads only.
     for sequence in 2..40 {
         now = now + Duration::from_secs(1);
         beat(&mut directory, upstreams, now, sequence);
-        let changes = directory.changes(now, &view.ask(7));
+        let changes = directory.changes(now, &view.next_request(7));
         let reply = MembersReply::Changes(changes.clone());
         let bytes = postcard::to_stdvec(&reply).map_or(0, |bytes| bytes.len());
-        view.learn(now, changes);
+        view.apply(now, changes);
         if sequence == 39 {
             return as_f64(bytes);
         }
@@ -138,8 +140,10 @@
             beat(&mut directory, upstreams, Time::from_millis(100), 2);
             least_us(100, || {
                 for reader in 0..100 {
-                    let changes =
-                        directory.changes(Time::from_millis(200), &View::default().ask(reader));
+                    let changes = directory.changes(
+                        Time::from_millis(200),
+                        &DirectoryView::default().next_request(reader),
+                    );
                     std::hint::black_box(changes);
                 }
             })
--- a/crates/quay_members/src/directory.rs
+++ b/crates/quay_members/src/directory.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        Changes, ChangesRequest, FullLine, Heartbeat, LoadLine, MembersReply, MembersRequest,
-        MembersSettings, Slot, Suspicion, line::Line,
+        Changes, ChangesRequest, CompactLoad, FullEntry, Heartbeat, MembersReply, MembersRequest,
+        MembersSettings, Slot, Suspicion, entry::Entry,
     },
     indexmap::{IndexMap, IndexSet},
     quay_types::{Announcement, Incarnation, Load, Time, UpstreamId, UpstreamState},
@@ -25,7 +25,7 @@
     /// Rises with each change that readers must hear of.
     version: u64,
     /// Lines by slot; an empty slot is free.
-    lines: Vec<Option<Line>>,
+    lines: Vec<Option<Entry>>,
     /// Free slots, last freed first.
     free: Vec<Slot>,
     /// Slots by upstream.
@@ -42,7 +42,7 @@
 
 /// One line for an operator.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct MemberLine {
+pub struct MemberStatus {
     /// Latest announcement.
     pub announcement: Announcement,
     /// State as readers are told.
@@ -119,7 +119,7 @@
             _ => {
                 let earlier = place.as_ref().map(|line| line.announcement.incarnation);
                 assert!(earlier < Some(incarnation), "the incarnation fell");
-                *place = Some(Line::new(now, announcement));
+                *place = Some(Entry::new(now, announcement));
             }
         }
         self.buried.shift_remove(&id);
@@ -130,7 +130,7 @@
             line.version = version;
         }
         self.retell(now, slot);
-        MembersReply::Heard(sequence)
+        MembersReply::Acknowledged(sequence)
     }
 
     /// Takes a short heartbeat.
@@ -152,7 +152,7 @@
         line.announcement.state = heartbeat.state;
         line.announcement.load = heartbeat.load;
         self.retell(now, slot);
-        MembersReply::Heard(heartbeat.sequence)
+        MembersReply::Acknowledged(heartbeat.sequence)
     }
 
     /// The answer to word of a past run, or word that came before.
@@ -171,7 +171,7 @@
         if incarnation < known_run {
             Some(MembersReply::Superseded)
         } else if incarnation == known_run && sequence <= known_sequence {
-            Some(MembersReply::Heard(known_sequence))
+            Some(MembersReply::Acknowledged(known_sequence))
         } else {
             None
         }
@@ -238,10 +238,10 @@
 
     /// Every line, for an operator.
     #[must_use]
-    pub fn members(&self, now: Time) -> Vec<MemberLine> {
+    pub fn members(&self, now: Time) -> Vec<MemberStatus> {
         let lines = self.slots.values().filter_map(|slot| self.line(*slot));
         lines
-            .map(|line| MemberLine {
+            .map(|line| MemberStatus {
                 announcement: line.announcement.clone(),
                 state: line.told.state,
                 suspicion: line.suspicion(now, &self.settings),
@@ -253,11 +253,11 @@
     // -----------------------------------------------------------------------
     // Readers
 
-    /// What changed since a reader's version; takes its complaints too.
+    /// What changed since a reader's version; takes its failure_reports too.
     pub fn changes(&mut self, now: Time, req: &ChangesRequest) -> Changes {
-        self.take_complaints(now, req);
-        let whole = req.run != self.run || req.announced < self.forgotten;
-        let (known, since) = if whole {
+        self.take_failure_reports(now, req);
+        let reset = req.run != self.run || req.announced < self.forgotten;
+        let (known, since) = if reset {
             // Every line is sent in full, with its load of that time.
             (0, self.version)
         } else {
@@ -273,7 +273,7 @@
         };
         let full = full.into_iter().filter_map(|slot| {
             let line = self.line(slot)?;
-            Some(FullLine {
+            Some(FullEntry {
                 slot,
                 announcement: bare(&line.announcement),
                 load: aged(now, line),
@@ -286,10 +286,10 @@
             run: self.run,
             announced,
             version,
-            whole,
+            reset,
             more: announced < self.version || version < self.version,
             complete: now.since(self.started) >= self.settings.suspect_after(),
-            gone: self.gone_since(known, announced),
+            removed: self.gone_since(known, announced),
             full: full.collect(),
             loads: loads.collect(),
         }
@@ -298,7 +298,7 @@
     /// Lines that were announced after a version, as many as one answer may
     /// hold, and the version up to which these are all.
     fn announced_since(&self, known: u64) -> (Vec<Slot>, u64) {
-        self.oldest(self.settings.full_lines, |line| {
+        self.oldest(self.settings.max_full_entries, |line| {
             (line.full_version > known).then_some(line.full_version)
         })
     }
@@ -306,7 +306,7 @@
     /// Lines that the reader knows and whose load changed after a version. The
     /// others are sent in full, with the load of that time.
     fn loads_since(&self, known: u64, since: u64) -> (Vec<Slot>, u64) {
-        self.oldest(self.settings.lines, |line| {
+        self.oldest(self.settings.max_entries, |line| {
             let changed = line.full_version <= known && line.version > since;
             changed.then_some(line.version)
         })
@@ -314,7 +314,7 @@
 
     /// The lines with the lowest versions, and the version up to which these
     /// are all.
-    fn oldest(&self, limit: usize, version: impl Fn(&Line) -> Option<u64>) -> (Vec<Slot>, u64) {
+    fn oldest(&self, limit: usize, version: impl Fn(&Entry) -> Option<u64>) -> (Vec<Slot>, u64) {
         let lines = self.slots.values();
         let mut chosen: Vec<_> = lines
             .filter_map(|slot| Some((version(self.line(*slot)?)?, *slot)))
@@ -340,15 +340,15 @@
     }
 
     /// Notes what a reader complains of.
-    fn take_complaints(&mut self, now: Time, req: &ChangesRequest) {
-        for complaint in &req.complaints {
-            let Some(slot) = self.slots.get(&complaint.upstream).copied() else {
+    fn take_failure_reports(&mut self, now: Time, req: &ChangesRequest) {
+        for report in &req.failure_reports {
+            let Some(slot) = self.slots.get(&report.upstream).copied() else {
                 continue;
             };
             if let Some(line) = &mut self.lines[usize::from(slot.0)]
-                && line.announcement.incarnation == complaint.incarnation
+                && line.announcement.incarnation == report.incarnation
             {
-                line.complain(now, req.reader, &self.settings);
+                line.report_failure(now, req.reader, &self.settings);
                 self.retell(now, slot);
             }
         }
@@ -358,7 +358,7 @@
     // Lines
 
     /// The line in a slot.
-    fn line(&self, slot: Slot) -> Option<&Line> {
+    fn line(&self, slot: Slot) -> Option<&Entry> {
         self.lines.get(usize::from(slot.0))?.as_ref()
     }
 
@@ -387,7 +387,7 @@
     }
 }
 
-/// An announcement without what is sent as a [`LoadLine`].
+/// An announcement without what is sent as a [`CompactLoad`].
 fn bare(announcement: &Announcement) -> Announcement {
     Announcement {
         load: Load::default(),
@@ -397,7 +397,7 @@
 }
 
 /// A line's load with its age.
-fn aged(now: Time, line: &Line) -> LoadLine {
+fn aged(now: Time, line: &Entry) -> CompactLoad {
     let report_ms = line.announcement.load.age_ms;
     let heard_ms = u32::try_from(now.since(line.heard).as_millis()).unwrap_or(u32::MAX);
     let age_ms = report_ms.saturating_add(heard_ms);
@@ -405,8 +405,8 @@
         age_ms,
         ..Load::default()
     };
-    LoadLine {
-        age: LoadLine::of(line.told.state, &aged).age,
+    CompactLoad {
+        age: CompactLoad::of(line.told.state, &aged).age,
         ..line.told
     }
 }
--- a/crates/quay_members/src/line.rs
+++ b/crates/quay_members/src/entry.rs
@@ -1,7 +1,7 @@
 //! One upstream as a host knows it.
 
 use {
-    crate::{LoadLine, MembersSettings},
+    crate::{CompactLoad, MembersSettings},
     quay_types::{Announcement, Time, UpstreamState},
     std::time::Duration,
 };
@@ -9,47 +9,47 @@
 /// Why an upstream is not trusted although its lease has not ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Suspicion {
-    /// It missed more than one heartbeat.
+    /// It missed_heartbeats more than one heartbeat.
     Silent,
     /// Its heartbeats arrive but it does not hear their answers.
     OneWay,
     /// Readers' requests to it fail.
-    Complaints,
+    FailureReports,
 }
 
 /// Complaints that are kept of one upstream.
-const MAX_COMPLAINTS: usize = 16;
+const MAX_FAILURE_REPORTS: usize = 16;
 
 /// One upstream.
 #[derive(Debug)]
-pub(crate) struct Line {
+pub(crate) struct Entry {
     pub announcement: Announcement,
     /// When it was last heard.
     pub heard: Time,
     /// Heartbeats in a row that did not know of the answer before.
     unheard_answers: u32,
     /// Readers that complained, and when; oldest first.
-    complaints: Vec<(u64, Time)>,
-    /// End of the time for which complaints keep it marked.
+    failure_reports: Vec<(u64, Time)>,
+    /// End of the time for which failure_reports keep it marked.
     failing_until: Time,
     /// State and load as readers are told.
-    pub told: LoadLine,
+    pub told: CompactLoad,
     /// Version of the last change of the announcement.
     pub full_version: u64,
     /// Version of the last change of any part; not below `full_version`.
     pub version: u64,
 }
 
-impl Line {
+impl Entry {
     /// A line that was just announced.
     pub fn new(now: Time, announcement: Announcement) -> Self {
         Self {
             announcement,
             heard: now,
             unheard_answers: 0,
-            complaints: Vec::new(),
+            failure_reports: Vec::new(),
             failing_until: Time::ZERO,
-            told: LoadLine::default(),
+            told: CompactLoad::default(),
             full_version: 0,
             version: 0,
         }
@@ -67,17 +67,17 @@
         self.heard = now;
     }
 
-    /// Notes a reader's complaint.
-    pub fn complain(&mut self, now: Time, reader: u64, settings: &MembersSettings) {
-        let window = settings.complaint_window;
-        self.complaints
+    /// Notes a reader's report.
+    pub fn report_failure(&mut self, now: Time, reader: u64, settings: &MembersSettings) {
+        let window = settings.report_window;
+        self.failure_reports
             .retain(|(from, at)| *from != reader && now.since(*at) < window);
-        if self.complaints.len() < MAX_COMPLAINTS {
-            self.complaints.push((reader, now));
+        if self.failure_reports.len() < MAX_FAILURE_REPORTS {
+            self.failure_reports.push((reader, now));
         }
-        if self.complaints.len() >= settings.complainants {
-            self.failing_until = now + settings.probation;
-            self.complaints.clear();
+        if self.failure_reports.len() >= settings.min_reporters {
+            self.failing_until = now + settings.failing_period;
+            self.failure_reports.clear();
         }
     }
 
@@ -85,10 +85,10 @@
     pub fn suspicion(&self, now: Time, settings: &MembersSettings) -> Option<Suspicion> {
         if now.since(self.heard) > settings.suspect_after() {
             Some(Suspicion::Silent)
-        } else if self.unheard_answers >= settings.one_way {
+        } else if self.unheard_answers >= settings.unheard_replies {
             Some(Suspicion::OneWay)
         } else if now < self.failing_until {
-            Some(Suspicion::Complaints)
+            Some(Suspicion::FailureReports)
         } else {
             None
         }
@@ -100,7 +100,7 @@
     }
 
     /// State and load as readers should be told now.
-    pub fn view(&self, now: Time, drained: bool, settings: &MembersSettings) -> LoadLine {
+    pub fn view(&self, now: Time, drained: bool, settings: &MembersSettings) -> CompactLoad {
         let announced = self.announcement.state;
         let state = if drained || announced == UpstreamState::Draining {
             UpstreamState::Draining
@@ -109,6 +109,6 @@
         } else {
             announced
         };
-        LoadLine::of(state, &self.announcement.load)
+        CompactLoad::of(state, &self.announcement.load)
     }
 }
--- a/crates/quay_members/src/announcer.rs
+++ b/crates/quay_members/src/host_contact.rs
@@ -17,7 +17,7 @@
 impl HostContact {
     /// What to tell the host now. `announcement` carries the next sequence.
     #[must_use]
-    pub fn tell(&self, announcement: &Announcement) -> MembersRequest {
+    pub fn next_request(&self, announcement: &Announcement) -> MembersRequest {
         if !self.known {
             return MembersRequest::Announce(Box::new(announcement.clone()));
         }
@@ -33,9 +33,9 @@
     }
 
     /// Takes the host's answer; `None` if there was none.
-    pub fn heard(&mut self, reply: Option<&MembersReply>) {
+    pub fn on_reply(&mut self, reply: Option<&MembersReply>) {
         match reply {
-            Some(MembersReply::Heard(sequence)) => {
+            Some(MembersReply::Acknowledged(sequence)) => {
                 self.known = true;
                 self.acked = self.acked.max(*sequence);
             }
--- a/crates/quay_members/src/lib.rs
+++ b/crates/quay_members/src/lib.rs
@@ -1,37 +1,37 @@
 //! Directory of upstreams, kept by announcements under leases.
 //!
 //! Sidecars announce themselves to the hosts that keep the [`Directory`]; daemons
-//! read what changed since their last read into a [`View`]. Nothing here does I/O
+//! read what changed since their last read into a [`DirectoryView`]. Nothing here does I/O
 //! or reads a clock, and random numbers are passed in.
 //!
 //! ```
-//! use quay_members::{Directory, MembersSettings, View};
+//! use quay_members::{Directory, MembersSettings, DirectoryView};
 //! use quay_types::Time;
 //!
 //! let mut directory = Directory::new(Time::ZERO, 1, MembersSettings::default());
-//! let mut view = View::default();
-//! let changes = directory.changes(Time::ZERO, &view.ask(7));
-//! assert!(view.learn(Time::ZERO, changes));
+//! let mut view = DirectoryView::default();
+//! let changes = directory.changes(Time::ZERO, &view.next_request(7));
+//! assert!(view.apply(Time::ZERO, changes));
 //! assert_eq!(view.entries(Time::ZERO).len(), 0);
 //! ```
 
-mod announcer;
 mod directory;
-mod line;
+mod entry;
+mod host_contact;
 mod message;
 mod pacer;
 mod settings;
 mod view;
 
 pub use {
-    announcer::HostContact,
-    directory::{Directory, MemberLine},
-    line::Suspicion,
+    directory::{Directory, MemberStatus},
+    entry::Suspicion,
+    host_contact::HostContact,
     message::{
-        Changes, ChangesRequest, Complaint, FullLine, Heartbeat, LoadLine, MembersReply,
+        Changes, ChangesRequest, CompactLoad, FailureReport, FullEntry, Heartbeat, MembersReply,
         MembersRequest, Slot,
     },
     pacer::Pacer,
     settings::MembersSettings,
-    view::View,
+    view::DirectoryView,
 };
--- a/crates/quay_members/src/message.rs
+++ b/crates/quay_members/src/message.rs
@@ -29,7 +29,7 @@
 
 /// A reader's word that requests to a listed upstream fail.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Complaint {
+pub struct FailureReport {
     /// The upstream.
     pub upstream: UpstreamId,
     /// Run of its sidecar.
@@ -39,7 +39,7 @@
 /// Asks for what changed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangesRequest {
-    /// Identity of the reader, for complaints.
+    /// Identity of the reader, for failure_reports.
     pub reader: u64,
     /// Run of the host that the versions are of; 0 if none was read.
     pub run: u64,
@@ -48,7 +48,7 @@
     /// Version up to which it holds the loads of the lines that it knows.
     pub version: u64,
     /// Upstreams that did not answer the reader's requests since its last read.
-    pub complaints: Box<[Complaint]>,
+    pub failure_reports: Box<[FailureReport]>,
 }
 
 /// First message on a stream to a host that keeps the directory.
@@ -64,37 +64,37 @@
 
 /// A line in full.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FullLine {
+pub struct FullEntry {
     /// Its place.
     pub slot: Slot,
-    /// The announcement; its load is sent as a [`LoadLine`].
+    /// The announcement; its load is sent as a [`CompactLoad`].
     pub announcement: Announcement,
     /// State and load.
-    pub load: LoadLine,
+    pub load: CompactLoad,
 }
 
 /// State and load of a line in few bytes.
 ///
 /// Numbers are rounded: routing does not tell 7,000 prompt tokens from 7,100.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LoadLine {
+pub struct CompactLoad {
     /// Whether it takes new work.
     pub state: UpstreamState,
     /// Calls queued.
     pub queued: u16,
     /// Calls running.
     pub running: u16,
-    /// Prompt tokens to prefill, in units of [`LoadLine::BACKLOG_UNIT`].
+    /// Prompt tokens to prefill, in units of [`CompactLoad::BACKLOG_UNIT`].
     pub backlog: u16,
-    /// KV memory in use, in units of [`LoadLine::KV_UNIT`].
+    /// KV memory in use, in units of [`CompactLoad::KV_UNIT`].
     pub kv: u8,
-    /// Time between tokens, in units of [`LoadLine::GAP_UNIT`].
+    /// Time between tokens, in units of [`CompactLoad::GAP_UNIT`].
     pub gap: u16,
-    /// Age of the load when it was sent, in units of [`LoadLine::AGE_UNIT`].
+    /// Age of the load when it was sent, in units of [`CompactLoad::AGE_UNIT`].
     pub age: u8,
 }
 
-impl LoadLine {
+impl CompactLoad {
     /// Prompt tokens.
     pub const BACKLOG_UNIT: u64 = 256;
     /// Thousandths of the KV memory.
@@ -162,24 +162,24 @@
     /// Version up to which it holds loads afterwards.
     pub version: u64,
     /// Whether the reader must forget what it held.
-    pub whole: bool,
+    pub reset: bool,
     /// Whether there is more to read.
     pub more: bool,
     /// Whether every live sidecar has had time to announce itself to this run.
     pub complete: bool,
     /// New lines, and lines whose announcement changed.
-    pub full: Box<[FullLine]>,
+    pub full: Box<[FullEntry]>,
     /// Lines whose state or load changed.
-    pub loads: Box<[(Slot, LoadLine)]>,
+    pub loads: Box<[(Slot, CompactLoad)]>,
     /// Lines that are no more; they come before any line of the same slot.
-    pub gone: Box<[Slot]>,
+    pub removed: Box<[Slot]>,
 }
 
 /// Answer to a [`MembersRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MembersReply {
     /// The announcement or heartbeat with this sequence was heard.
-    Heard(u64),
+    Acknowledged(u64),
     /// The host does not know the upstream: announce it in full.
     Unknown,
     /// A later run of the sidecar is known.
--- a/crates/quay_members/src/pacer.rs
+++ b/crates/quay_members/src/pacer.rs
@@ -29,7 +29,7 @@
     }
 
     /// Notes how a round went.
-    pub const fn ended(&mut self, well: bool) {
+    pub const fn record_outcome(&mut self, well: bool) {
         self.failures = if well {
             0
         } else {
@@ -41,7 +41,7 @@
     ///
     /// The first wait is anywhere within an interval. After failures waits
     /// double, and are drawn from the whole span, up to 4 intervals.
-    pub fn wait(&mut self, random: f64) -> Duration {
+    pub fn next_wait(&mut self, random: f64) -> Duration {
         let random = random.clamp(0.0, 1.0);
         if !self.started {
             self.started = true;
--- a/crates/quay_members/src/settings.rs
+++ b/crates/quay_members/src/settings.rs
@@ -7,23 +7,23 @@
 pub struct MembersSettings {
     /// Interval of a sidecar's heartbeats.
     pub heartbeat: Duration,
-    /// Heartbeats that may be missed before a line is suspected; more than one.
-    pub missed: u32,
-    /// Silence after which a line is dropped; longer than `heartbeat * missed`.
+    /// Heartbeats that may be missed_heartbeats before a line is suspected; more than one.
+    pub missed_heartbeats: u32,
+    /// Silence after which a line is dropped; longer than `heartbeat * missed_heartbeats`.
     pub lease: Duration,
     /// Heartbeats in a row that show that answers do not arrive, before a line
     /// is suspected.
-    pub one_way: u32,
+    pub unheard_replies: u32,
     /// Readers that must complain of an upstream before it counts as failing.
-    pub complainants: usize,
-    /// How long a complaint counts.
-    pub complaint_window: Duration,
+    pub min_reporters: usize,
+    /// How long a report counts.
+    pub report_window: Duration,
     /// How long an upstream that readers complained of stays marked.
-    pub probation: Duration,
+    pub failing_period: Duration,
     /// Full lines in one answer.
-    pub full_lines: usize,
+    pub max_full_entries: usize,
     /// Lines of any form in one answer.
-    pub lines: usize,
+    pub max_entries: usize,
     /// Lines at most; announcements beyond are refused.
     pub capacity: u16,
 }
@@ -32,14 +32,14 @@
     fn default() -> Self {
         Self {
             heartbeat: Duration::from_millis(500),
-            missed: 3,
+            missed_heartbeats: 3,
             lease: Duration::from_secs(5),
-            one_way: 3,
-            complainants: 2,
-            complaint_window: Duration::from_secs(10),
-            probation: Duration::from_secs(10),
-            full_lines: 28,
-            lines: 1_024,
+            unheard_replies: 3,
+            min_reporters: 2,
+            report_window: Duration::from_secs(10),
+            failing_period: Duration::from_secs(10),
+            max_full_entries: 28,
+            max_entries: 1_024,
             capacity: 4_096,
         }
     }
@@ -50,6 +50,6 @@
     #[must_use]
     pub fn suspect_after(&self) -> Duration {
         // Half an interval more, since heartbeats are sent with jitter.
-        self.heartbeat * self.missed + self.heartbeat / 2
+        self.heartbeat * self.missed_heartbeats + self.heartbeat / 2
     }
 }
--- a/crates/quay_members/src/view.rs
+++ b/crates/quay_members/src/view.rs
@@ -1,19 +1,19 @@
 //! The directory as a reader holds it.
 
 use {
-    crate::{Changes, ChangesRequest, Complaint, LoadLine, Slot},
+    crate::{Changes, ChangesRequest, CompactLoad, FailureReport, Slot},
     indexmap::{IndexMap, IndexSet},
     quay_types::{Announcement, DirectoryEntry, Time, UpstreamId},
 };
 
 /// Complaints that wait for the next read.
-const MAX_COMPLAINTS: usize = 32;
+const MAX_FAILURE_REPORTS: usize = 32;
 
 /// A line as it was told.
 #[derive(Debug, Clone)]
 struct Told {
     announcement: Announcement,
-    load: LoadLine,
+    load: CompactLoad,
 }
 
 /// Lines by slot.
@@ -25,7 +25,7 @@
 /// that was held is used until the new one is complete: a directory that is
 /// still being announced to must not take upstreams away.
 #[derive(Debug, Default)]
-pub struct View {
+pub struct DirectoryView {
     /// Run of the host that is read.
     run: u64,
     announced: u64,
@@ -33,45 +33,47 @@
     lines: Lines,
     /// The last complete copy, while `lines` is not complete.
     earlier: Option<Lines>,
-    complaints: Vec<Complaint>,
+    failure_reports: Vec<FailureReport>,
     /// When the last answer came.
     heard: Time,
     more: bool,
 }
 
-impl View {
-    /// The question for the next read. Takes the complaints along.
-    pub fn ask(&mut self, reader: u64) -> ChangesRequest {
+impl DirectoryView {
+    /// The question for the next read. Takes the failure_reports along.
+    pub fn next_request(&mut self, reader: u64) -> ChangesRequest {
         ChangesRequest {
             reader,
             run: self.run,
             announced: self.announced,
             version: self.version,
-            complaints: std::mem::take(&mut self.complaints).into(),
+            failure_reports: std::mem::take(&mut self.failure_reports).into(),
         }
     }
 
     /// Notes that requests to an upstream fail.
-    pub fn complain(&mut self, complaint: Complaint) {
-        if self.complaints.len() < MAX_COMPLAINTS && !self.complaints.contains(&complaint) {
-            self.complaints.push(complaint);
+    pub fn report_failure(&mut self, report: FailureReport) {
+        if self.failure_reports.len() < MAX_FAILURE_REPORTS
+            && !self.failure_reports.contains(&report)
+        {
+            self.failure_reports.push(report);
         }
     }
 
     /// Takes an answer; `false` if it does not follow on what is held.
-    pub fn learn(&mut self, now: Time, changes: Changes) -> bool {
+    pub fn apply(&mut self, now: Time, changes: Changes) -> bool {
         let follows = changes.run == self.run
             && changes.announced >= self.announced
             && changes.version >= self.version;
-        if !changes.whole && !follows {
+        if !changes.reset && !follows {
             return false;
         }
-        if changes.whole {
+        if changes.reset {
             let held = std::mem::take(&mut self.lines);
             self.earlier.get_or_insert(held);
             self.run = changes.run;
         }
-        for slot in &changes.gone {
+        for slot in &changes.removed {
             self.lines.shift_remove(slot);
         }
         for line in changes.full {
@@ -98,7 +100,7 @@
 
     /// Whether the last answer was cut short.
     #[must_use]
-    pub const fn more(&self) -> bool {
+    pub const fn has_more(&self) -> bool {
         self.more
     }
 
--- a/crates/quay_members/tests/directory.rs
+++ b/crates/quay_members/tests/directory.rs
@@ -4,8 +4,8 @@
     indexmap::IndexSet,
     proptest::prelude::*,
     quay_members::{
-        Changes, ChangesRequest, Complaint, Directory, Heartbeat, HostContact, MembersReply,
-        MembersRequest, MembersSettings, Suspicion, View,
+        Changes, ChangesRequest, Directory, DirectoryView, FailureReport, Heartbeat, HostContact,
+        MembersReply, MembersRequest, MembersSettings, Suspicion,
     },
     quay_types::{
         Announcement, Incarnation, Load, ModelId, Time, UpstreamId, UpstreamKind, UpstreamState,
@@ -63,13 +63,13 @@
 }
 
 /// Reads until nothing is missing.
-fn read(directory: &mut Directory, view: &mut View, now: Time) -> usize {
+fn read(directory: &mut Directory, view: &mut DirectoryView, now: Time) -> usize {
     let mut reads = 0;
     loop {
-        let changes = directory.changes(now, &view.ask(1));
-        assert!(view.learn(now, changes));
+        let changes = directory.changes(now, &view.next_request(1));
+        assert!(view.apply(now, changes));
         reads += 1;
-        if !view.more() {
+        if !view.has_more() {
             return reads;
         }
     }
@@ -112,22 +112,22 @@
 fn an_upstream_that_answers_heartbeats_only_is_failing() {
     let mut directory = directory();
     directory.announce(at(0), announcement(1, 1, 1));
-    let complaint = |reader, incarnation| ChangesRequest {
+    let report = |reader, incarnation| ChangesRequest {
         reader,
         run: 1,
         announced: 0,
         version: 0,
-        complaints: Box::new([Complaint {
+        failure_reports: Box::new([FailureReport {
             upstream: UpstreamId::of("agent-llm-001"),
             incarnation: Incarnation(incarnation),
         }]),
     };
     // One reader alone may have a fault of its own.
-    directory.changes(at(100), &complaint(1, 1));
-    directory.changes(at(200), &complaint(1, 1));
-    directory.changes(at(300), &complaint(2, 9));
+    directory.changes(at(100), &report(1, 1));
+    directory.changes(at(200), &report(1, 1));
+    directory.changes(at(300), &report(2, 9));
     assert_eq!(suspicion(&directory, 300), None);
-    let changes = directory.changes(at(400), &complaint(2, 1));
+    let changes = directory.changes(at(400), &report(2, 1));
     assert_eq!(changes.full[0].load.state, UpstreamState::Failing);
     for n in 2..25 {
         directory.heartbeat(at(n * 500), &beat(1, n, n - 1));
@@ -143,7 +143,7 @@
     assert_eq!(late, MembersReply::Superseded);
     assert_eq!(
         directory.announce(at(2), announcement(1, 2, 6)),
-        MembersReply::Heard(7)
+        MembersReply::Acknowledged(7)
     );
     directory.tick(at(5_000));
     assert!(directory.is_empty());
@@ -168,7 +168,7 @@
 
 #[test]
 fn a_restarted_host_does_not_take_upstreams_away() {
-    let mut view = View::default();
+    let mut view = DirectoryView::default();
     let mut old = directory();
     for n in 0..10 {
         old.announce(at(0), announcement(n, 1, 1));
@@ -190,17 +190,23 @@
     let mut contact = HostContact::default();
     let mut host = directory();
     for sequence in 1..4 {
-        let reply = host.handle(at(sequence), contact.tell(&announcement(1, 1, sequence)));
-        contact.heard(Some(&reply));
+        let reply = host.handle(
+            at(sequence),
+            contact.next_request(&announcement(1, 1, sequence)),
+        );
+        contact.on_reply(Some(&reply));
     }
     assert!(matches!(
-        contact.tell(&announcement(1, 1, 4)),
+        contact.next_request(&announcement(1, 1, 4)),
         MembersRequest::Heartbeat(_)
     ));
     let mut host = directory();
     for sequence in 4..6 {
-        let reply = host.handle(at(sequence), contact.tell(&announcement(1, 1, sequence)));
-        contact.heard(Some(&reply));
+        let reply = host.handle(
+            at(sequence),
+            contact.next_request(&announcement(1, 1, sequence)),
+        );
+        contact.on_reply(Some(&reply));
     }
     assert_eq!(host.len(), 1);
 }
@@ -208,20 +214,20 @@
 #[test]
 fn six_hundred_workers_fit_into_a_readers_share() {
     let mut directory = directory();
-    let mut view = View::default();
+    let mut view = DirectoryView::default();
     for n in 0..600 {
         directory.announce(at(0), announcement(n, 1, 1));
     }
     // All at once, as after a rack came back: each answer is bounded.
     let settings = MembersSettings::default();
     loop {
-        let changes = directory.changes(at(10), &view.ask(1));
+        let changes = directory.changes(at(10), &view.next_request(1));
         let bytes = postcard::to_stdvec(&changes).expect("bytes").len();
         // Four such answers a second are read at most.
         assert!(bytes * 4 < CONTROL_BYTES, "{bytes} bytes");
-        assert!(changes.full.len() <= settings.full_lines);
-        view.learn(at(10), changes);
-        if !view.more() {
+        assert!(changes.full.len() <= settings.max_full_entries);
+        view.apply(at(10), changes);
+        if !view.has_more() {
             break;
         }
     }
@@ -232,7 +238,7 @@
         beat.load.running += 1;
         directory.heartbeat(at(1_000), &beat);
     }
-    let changes = directory.changes(at(1_000), &view.ask(1));
+    let changes = directory.changes(at(1_000), &view.next_request(1));
     assert_eq!(changes.loads.len(), 600);
     let bytes = postcard::to_stdvec(&changes).expect("bytes").len();
     assert!(bytes * 2 < CONTROL_BYTES, "{bytes} bytes for all loads");
@@ -243,8 +249,8 @@
         beat.load.running += 1;
         directory.heartbeat(at(2_000), &beat);
     }
-    assert!(view.learn(at(1_000), changes));
-    let changes = directory.changes(at(2_000), &view.ask(1));
+    assert!(view.apply(at(1_000), changes));
+    let changes = directory.changes(at(2_000), &view.next_request(1));
     assert!(changes.loads.is_empty() && changes.full.is_empty());
 }
 
@@ -273,9 +279,9 @@
     /// host's lines, and runs of a sidecar never go back.
     #[test]
     fn readers_end_up_with_the_hosts_lines(events in prop::collection::vec(event(), 1..60)) {
-        let settings = MembersSettings { full_lines: 3, lines: 4, ..MembersSettings::default() };
+        let settings = MembersSettings { max_full_entries: 3, max_entries: 4, ..MembersSettings::default() };
         let mut directory = Directory::new(at(0), 1, settings);
-        let mut view = View::default();
+        let mut view = DirectoryView::default();
         let mut now = 10_000;
         for event in events {
             let before = directory.members(at(now));
@@ -288,9 +294,9 @@
                 }
                 // One read may be cut short, or its answer lost.
                 Event::Read(arrives) => {
-                    let changes = directory.changes(at(now), &view.ask(1));
+                    let changes = directory.changes(at(now), &view.next_request(1));
                     if arrives {
-                        prop_assert!(view.learn(at(now), changes));
+                        prop_assert!(view.apply(at(now), changes));
                     }
                 }
                 Event::Drain(n) => directory.set_drained(at(now), [announcement(n, 1, 1).upstream()].into()),
@@ -321,10 +327,10 @@
             directory().handle(at(1), req);
         }
         if let Ok(changes) = postcard::from_bytes::<Changes>(&bytes) {
-            View::default().learn(at(1), changes);
+            DirectoryView::default().apply(at(1), changes);
         }
         if let Ok(reply) = postcard::from_bytes::<MembersReply>(&bytes) {
-            HostContact::default().heard(Some(&reply));
+            HostContact::default().on_reply(Some(&reply));
         }
     }
 }
--- a/crates/quay_routes/src/dialect.rs
+++ b/crates/quay_routes/src/dialect.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        CallHead, HeadFault, OperatorAnswer, OperatorCall, OperatorFault, RoutingTable, TableFault,
-        UpstreamHead,
+        CallHead, HeadError, OperatorCall, OperatorError, OperatorResponse, RoutingTable,
+        TableError, UpstreamHead,
     },
     http::{HeaderMap, Method, Request, Response, request, response},
     std::time::Duration,
@@ -15,7 +15,7 @@
     /// The upstream that the request is meant for.
     pub upstream: &'a str,
     /// Time that the upstream has.
-    pub left: Duration,
+    pub time_left: Duration,
 }
 
 /// Translates between a platform's messages and the product's types.
@@ -27,15 +27,15 @@
     ///
     /// # Errors
     ///
-    /// [`TableFault::Unreadable`] says what is wrong.
-    fn table(&self, document: &[u8]) -> Result<RoutingTable, TableFault>;
+    /// [`TableError::Unreadable`] says what is wrong.
+    fn table(&self, document: &[u8]) -> Result<RoutingTable, TableError>;
 
     /// Reads the head of a caller's request.
     ///
     /// # Errors
     ///
     /// Names what is missing or can't be read.
-    fn call(&self, head: &request::Parts) -> Result<CallHead, HeadFault>;
+    fn call(&self, head: &request::Parts) -> Result<CallHead, HeadError>;
 
     /// The headers with which a request goes to an upstream.
     fn forward(&self, headers: &HeaderMap, with: &Forwarding<'_>) -> HeaderMap;
@@ -44,21 +44,21 @@
     fn answer(&self, head: &response::Parts) -> UpstreamHead;
 
     /// The headers with which an upstream's answer goes to the caller.
-    fn answer_headers(&self, headers: &HeaderMap) -> HeaderMap;
+    fn response_headers(&self, headers: &HeaderMap) -> HeaderMap;
 
     /// Adds what an own answer to a caller's request carries.
-    fn own_answer(&self, head: &CallHead, headers: &mut HeaderMap);
+    fn gateway_response_headers(&self, head: &CallHead, headers: &mut HeaderMap);
 
     /// Whether a request asks if this host takes callers.
-    fn asks_readiness(&self, method: &Method, path: &str) -> bool;
+    fn is_readiness_probe(&self, method: &Method, path: &str) -> bool;
 
     /// Reads a call of an operator or an upstream.
     ///
     /// # Errors
     ///
     /// Says why it can't be taken.
-    fn operator_call(&self, req: &Request<&[u8]>) -> Result<OperatorCall, OperatorFault>;
+    fn operator_call(&self, req: &Request<&[u8]>) -> Result<OperatorCall, OperatorError>;
 
     /// Writes the answer to such a call.
-    fn operator_answer(&self, answer: &OperatorAnswer) -> Response<Box<[u8]>>;
+    fn operator_response(&self, answer: &OperatorResponse) -> Response<Box<[u8]>>;
 }
--- a/crates/quay_routes/src/head.rs
+++ b/crates/quay_routes/src/head.rs
@@ -15,7 +15,7 @@
     /// Path without the query.
     pub path: Box<str>,
     /// How long the caller will wait.
-    pub patience: Option<Duration>,
+    pub caller_timeout: Option<Duration>,
     /// Program that the request belongs to, if it is one of a program.
     pub program: Option<Box<str>>,
     /// What only a turn of a program has.
@@ -30,14 +30,14 @@
     /// Tokens that all turns of the program may generate.
     pub budget: Option<u64>,
     /// Most tokens that this turn may generate.
-    pub most: u64,
+    pub max_tokens: u64,
     /// The turn that this one continues from.
     pub prior: Option<Box<str>>,
 }
 
 /// Why a request can't be taken.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum HeadFault {
+pub enum HeadError {
     /// It has no number.
     NoId,
     /// It names no host.
@@ -46,7 +46,7 @@
     Unreadable(&'static str),
 }
 
-impl fmt::Display for HeadFault {
+impl fmt::Display for HeadError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NoId => f.write_str("the request has no id"),
@@ -56,7 +56,7 @@
     }
 }
 
-impl std::error::Error for HeadFault {}
+impl std::error::Error for HeadError {}
 
 /// What an upstream says of whether it ran a request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -67,7 +67,7 @@
     /// It did not run and never will.
     NotRun,
     /// It did not run and never will, because another upstream was meant.
-    OtherMeant,
+    Misdirected,
 }
 
 /// What a gateway must know of an upstream's answer.
--- a/crates/quay_routes/src/lib.rs
+++ b/crates/quay_routes/src/lib.rs
@@ -22,7 +22,7 @@
 //! assert_eq!(&*found.targets[0].service, "orders");
 //! ```
 
-mod allowance;
+mod deadline;
 mod dialect;
 mod head;
 mod operator;
@@ -30,10 +30,10 @@
 mod table;
 
 pub use {
-    allowance::Allowance,
+    deadline::RequestDeadline,
     dialect::{Dialect, Forwarding},
-    head::{CallHead, Execution, HeadFault, TurnHead, UpstreamHead},
-    operator::{OperatorAnswer, OperatorCall, OperatorFault},
-    prompt::{BLOCK_TOKENS, PromptPart, blocks, lines, tokens},
-    table::{EdgeLimits, Repeat, Route, RoutingTable, Service, TableFault, Target},
+    head::{CallHead, Execution, HeadError, TurnHead, UpstreamHead},
+    operator::{OperatorCall, OperatorError, OperatorResponse},
+    prompt::{BLOCK_TOKENS, PromptPart, block_hashes, branch_ids, token_count},
+    table::{EdgeLimits, RepeatPolicy, Route, RoutingTable, Service, TableError, Target},
 };
--- a/crates/quay_routes/src/operator.rs
+++ b/crates/quay_routes/src/operator.rs
@@ -37,14 +37,14 @@
 
 /// Why a call can't be taken.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum OperatorFault {
+pub enum OperatorError {
     /// There is no such call.
     NoSuchCall,
     /// The body can't be used; says why.
     Unreadable(Box<str>),
 }
 
-impl fmt::Display for OperatorFault {
+impl fmt::Display for OperatorError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NoSuchCall => f.write_str("there is no such call"),
@@ -53,11 +53,11 @@
     }
 }
 
-impl std::error::Error for OperatorFault {}
+impl std::error::Error for OperatorError {}
 
 /// What a control host answers.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum OperatorAnswer {
+pub enum OperatorResponse {
     /// Done, or done before.
     Done,
     /// The table in force, as it was sent.
@@ -71,5 +71,5 @@
     /// Too few hosts would be left.
     TooFew,
     /// This host can't be sure now; ask again.
-    Unsure,
+    Unavailable,
 }
--- a/crates/quay_routes/src/prompt.rs
+++ b/crates/quay_routes/src/prompt.rs
@@ -14,7 +14,7 @@
 
 /// Length of a prompt in tokens.
 #[must_use]
-pub fn tokens(parts: &[PromptPart]) -> u64 {
+pub fn token_count(parts: &[PromptPart]) -> u64 {
     parts.iter().map(|part| part.tokens).sum()
 }
 
@@ -22,7 +22,7 @@
 /// from, if any. The first part is shared by many lines; the last one is the
 /// line's own and grows with each of its calls.
 #[must_use]
-pub fn lines(parts: &[PromptPart]) -> Vec<u64> {
+pub fn branch_ids(parts: &[PromptPart]) -> Vec<u64> {
     let mut chain = 0;
     let chained = parts.iter().map(|part| {
         chain = mix(chain ^ part.id);
@@ -37,7 +37,7 @@
 /// Chained hashes of the prompt's blocks: a block is only worth something to
 /// one who holds all blocks before it.
 #[must_use]
-pub fn blocks(parts: &[PromptPart]) -> Vec<u64> {
+pub fn block_hashes(parts: &[PromptPart]) -> Vec<u64> {
     let mut chain = 0;
     let mut hashes = Vec::new();
     for part in parts {
--- a/crates/quay_routes/src/table.rs
+++ b/crates/quay_routes/src/table.rs
@@ -7,7 +7,7 @@
 
 /// What may be repeated of the requests of a route.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Repeat {
+pub enum RepeatPolicy {
     /// A request may run more than once.
     Idempotent,
     /// A request runs at most once.
@@ -19,10 +19,10 @@
     ResumableStream,
 }
 
-impl Repeat {
+impl RepeatPolicy {
     /// Whether the answer is a stream of events.
     #[must_use]
-    pub const fn streams(self) -> bool {
+    pub const fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::ResumableStream)
     }
 }
@@ -57,7 +57,7 @@
     /// Start of the path; begins and ends with a slash.
     pub prefix: Box<str>,
     /// What may be repeated.
-    pub repeat: Repeat,
+    pub repeat: RepeatPolicy,
     /// Longest time that a caller is kept waiting.
     pub timeout: Duration,
     /// Time within which an answer is on time.
@@ -143,7 +143,7 @@
 
 /// Why a table can't be used.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum TableFault {
+pub enum TableError {
     /// It can't be read; says why.
     Unreadable(Box<str>),
     /// A route leads to a service that the table does not have.
@@ -154,19 +154,19 @@
         service: Box<str>,
     },
     /// Two routes have this host and prefix.
-    SamePlace {
+    DuplicateRoute {
         /// The host.
         host: Box<str>,
         /// The prefix.
         prefix: Box<str>,
     },
     /// The weights of this route add up to 0.
-    NoWeight(Box<str>),
+    ZeroWeight(Box<str>),
     /// The timeout of this route is 0.
-    NoTimeout(Box<str>),
+    ZeroTimeout(Box<str>),
 }
 
-impl fmt::Display for TableFault {
+impl fmt::Display for TableError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Unreadable(why) => write!(f, "the table can't be read: {why}"),
@@ -176,16 +176,16 @@
                     "route {route:?} names service {service:?}, which does not exist"
                 )
             }
-            Self::SamePlace { host, prefix } => {
+            Self::DuplicateRoute { host, prefix } => {
                 write!(f, "two routes have host {host:?} and prefix {prefix:?}")
             }
-            Self::NoWeight(route) => write!(f, "the weights of route {route:?} add up to 0"),
-            Self::NoTimeout(route) => write!(f, "the timeout of route {route:?} is 0"),
+            Self::ZeroWeight(route) => write!(f, "the weights of route {route:?} add up to 0"),
+            Self::ZeroTimeout(route) => write!(f, "the timeout of route {route:?} is 0"),
         }
     }
 }
 
-impl std::error::Error for TableFault {}
+impl std::error::Error for TableError {}
 
 impl RoutingTable {
     /// Checks the table as a whole.
@@ -193,29 +193,29 @@
     /// # Errors
     ///
     /// The first fault.
-    pub fn check(&self) -> Result<(), TableFault> {
+    pub fn check(&self) -> Result<(), TableError> {
         let known: HashSet<&str> = self.services.iter().map(|it| &*it.name).collect();
         let mut places = HashSet::new();
         for route in &self.routes {
             for target in &route.targets {
                 if !known.contains(&*target.service) {
-                    return Err(TableFault::UnknownService {
+                    return Err(TableError::UnknownService {
                         route: route.name.clone(),
                         service: target.service.clone(),
                     });
                 }
             }
             if !places.insert((&route.host, &route.prefix)) {
-                return Err(TableFault::SamePlace {
+                return Err(TableError::DuplicateRoute {
                     host: route.host.clone(),
                     prefix: route.prefix.clone(),
                 });
             }
             if route.targets.iter().all(|target| target.weight == 0) {
-                return Err(TableFault::NoWeight(route.name.clone()));
+                return Err(TableError::ZeroWeight(route.name.clone()));
             }
             if route.timeout.is_zero() {
-                return Err(TableFault::NoTimeout(route.name.clone()));
+                return Err(TableError::ZeroTimeout(route.name.clone()));
             }
         }
         Ok(())
--- a/crates/quay_routes/tests/table.rs
+++ b/crates/quay_routes/tests/table.rs
@@ -3,7 +3,7 @@
 use {
     proptest::prelude::*,
     quay_routes::{
-        Allowance, PromptPart, Route, RoutingTable, Service, TableFault, Target, blocks,
+        PromptPart, RequestDeadline, Route, RoutingTable, Service, TableError, Target, block_hashes,
     },
     quay_types::Time,
     std::time::Duration,
@@ -53,39 +53,45 @@
     faulty.services.clear();
     assert!(matches!(
         faulty.check(),
-        Err(TableFault::UnknownService { .. })
+        Err(TableError::UnknownService { .. })
     ));
     let mut faulty = sound.clone();
     faulty.routes.push(route("q", "a", "/"));
-    assert!(matches!(faulty.check(), Err(TableFault::SamePlace { .. })));
+    assert!(matches!(
+        faulty.check(),
+        Err(TableError::DuplicateRoute { .. })
+    ));
     let mut faulty = sound.clone();
     faulty.routes[0].targets[0].weight = 0;
-    assert_eq!(faulty.check(), Err(TableFault::NoWeight("r".into())));
+    assert_eq!(faulty.check(), Err(TableError::ZeroWeight("r".into())));
     let mut faulty = sound;
     faulty.routes[0].timeout = Duration::ZERO;
-    assert_eq!(faulty.check(), Err(TableFault::NoTimeout("r".into())));
+    assert_eq!(faulty.check(), Err(TableError::ZeroTimeout("r".into())));
 }
 
 #[test]
 fn the_earlier_of_patience_and_timeout_ends_a_request() {
     let arrived = Time::from_millis(1_000);
-    let allowance = Allowance::new(
+    let allowance = RequestDeadline::new(
         arrived,
         Some(Duration::from_millis(300)),
         Duration::from_secs(1),
     );
-    assert_eq!(allowance.ends(), Time::from_millis(1_300));
-    assert_eq!(allowance.left(Time::from_millis(1_400)), Duration::ZERO);
+    assert_eq!(allowance.at(), Time::from_millis(1_300));
+    assert_eq!(
+        allowance.remaining(Time::from_millis(1_400)),
+        Duration::ZERO
+    );
 }
 
 #[test]
 fn prompts_share_the_blocks_of_equal_first_parts() {
     let part = |id, tokens| PromptPart { id, tokens };
-    let a = blocks(&[part(1, 130), part(2, 64)]);
-    let b = blocks(&[part(1, 130), part(3, 64)]);
+    let a = block_hashes(&[part(1, 130), part(2, 64)]);
+    let b = block_hashes(&[part(1, 130), part(3, 64)]);
     assert_eq!(a[..3], b[..3]);
     assert_ne!(a[3], b[3]);
-    assert_ne!(blocks(&[part(2, 64)])[0], a[3]);
+    assert_ne!(block_hashes(&[part(2, 64)])[0], a[3]);
 }
 
 proptest! {
@@ -104,17 +110,17 @@
 
 #[test]
 fn a_prompt_names_its_line_and_the_one_that_it_branched_off_from() {
-    use quay_routes::{PromptPart, lines};
+    use quay_routes::{PromptPart, branch_ids};
     let part = |id, tokens| PromptPart { id, tokens };
-    let first = lines(&[part(1, 900), part(2, 30)]);
-    let next = lines(&[part(1, 900), part(2, 80)]);
-    let branch = lines(&[part(1, 900), part(2, 30), part(3, 10)]);
-    let other = lines(&[part(1, 900), part(4, 30)]);
+    let first = branch_ids(&[part(1, 900), part(2, 30)]);
+    let next = branch_ids(&[part(1, 900), part(2, 80)]);
+    let branch = branch_ids(&[part(1, 900), part(2, 30), part(3, 10)]);
+    let other = branch_ids(&[part(1, 900), part(4, 30)]);
     assert_eq!(first.len(), 1);
     assert_eq!(first, next, "a line grows");
     assert_eq!(branch[1..], first[..]);
     assert_ne!(branch[0], first[0]);
     assert_ne!(other, first);
     // A part that many share is no line.
-    assert!(lines(&[part(1, 900)]).is_empty() && lines(&[]).is_empty());
+    assert!(branch_ids(&[part(1, 900)]).is_empty() && branch_ids(&[]).is_empty());
 }
--- a/crates/quay_turns/src/charge.rs
+++ b/crates/quay_turns/src/charge.rs
@@ -8,7 +8,7 @@
 
 /// How final a charge is; a later standing replaces an earlier one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Standing {
+pub enum ChargeStatus {
     /// The attempt may still use as much.
     Reserved,
     /// The attempt has ended.
@@ -21,7 +21,7 @@
     /// The attempt.
     pub attempt: AttemptTag,
     /// How final it is.
-    pub standing: Standing,
+    pub standing: ChargeStatus,
     /// Tokens charged.
     pub tokens: Tokens,
 }
@@ -31,11 +31,11 @@
 /// Merging is commutative and idempotent: stores may learn charges in any
 /// order and any number of times.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct ChargeBook(IndexMap<AttemptTag, (Standing, Tokens)>);
+pub struct ChargeSet(IndexMap<AttemptTag, (ChargeStatus, Tokens)>);
 
-impl ChargeBook {
+impl ChargeSet {
     /// Takes a charge; `false` if nothing changed.
-    pub fn take(&mut self, charge: Charge) -> bool {
+    pub fn merge(&mut self, charge: Charge) -> bool {
         let new = (charge.standing, charge.tokens);
         let held = self.0.entry(charge.attempt).or_insert(new);
         let first = *held == new;
@@ -64,7 +64,7 @@
 
     /// Tokens charged to all attempts but one.
     #[must_use]
-    pub fn total_without(&self, attempt: AttemptTag) -> Tokens {
+    pub fn total_excluding(&self, attempt: AttemptTag) -> Tokens {
         let others = self.0.iter().filter(|(it, _)| **it != attempt);
         Tokens(others.map(|(_, (_, tokens))| tokens.0).sum())
     }
--- a/crates/quay_turns/src/lib.rs
+++ b/crates/quay_turns/src/lib.rs
@@ -15,24 +15,24 @@
 //! };
 //! let view = StoreView { epoch: 1, members: vec![member(1), member(2), member(3)], ..StoreView::default() };
 //! let mut tally = WriteTally::new(&view);
-//! tally.took(1);
-//! assert_eq!(tally.verdict(), WriteVerdict::Open);
-//! tally.took(3);
+//! tally.synced(1);
+//! assert_eq!(tally.verdict(), WriteVerdict::Pending);
+//! tally.synced(3);
 //! assert_eq!(tally.verdict(), WriteVerdict::Durable);
 //! ```
 
 mod charge;
-mod roster;
-mod shelf;
+mod membership;
+mod store_index;
 mod tally;
 mod turn;
 mod view;
 
 pub use {
-    charge::{Charge, ChargeBook, Standing},
-    roster::{Hello, Roster, RosterSettings, StoreChange},
-    shelf::{Chain, Place, Shelf, ShelfSettings, StaleView},
+    charge::{Charge, ChargeSet, ChargeStatus},
+    membership::{MembershipPlanner, MembershipSettings, StoreAnnouncement, StoreChange},
+    store_index::{RecordLocation, StaleView, StoreIndex, StoreIndexSettings, TurnChain},
     tally::{ChargeTally, ChargeVerdict, LookupTally, LookupVerdict, WriteTally, WriteVerdict},
     turn::{Record, TurnRecord},
-    view::{Source, StoreMember, StoreView},
+    view::{CopySource, StoreMember, StoreView},
 };
--- a/crates/quay_turns/src/roster.rs
+++ b/crates/quay_turns/src/membership.rs
@@ -1,7 +1,7 @@
 //! How the members of the stores are exchanged.
 
 use {
-    crate::{Source, StoreMember, StoreView},
+    crate::{CopySource, StoreMember, StoreView},
     indexmap::IndexMap,
     quay_types::Time,
     serde::{Deserialize, Serialize},
@@ -10,7 +10,7 @@
 
 /// What a store host says of itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hello {
+pub struct StoreAnnouncement {
     /// Name of the host.
     pub host: Box<str>,
     /// Drawn when its data folder was new.
@@ -29,13 +29,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreChange {
     /// The first members; they are whole because nothing was kept before.
-    Form(Vec<Hello>),
+    Form(Vec<StoreAnnouncement>),
     /// One member takes the place of another.
     Swap {
         /// Identity of the one that goes.
         out: u64,
         /// The one that comes.
-        new: Box<Hello>,
+        new: Box<StoreAnnouncement>,
     },
     /// A member holds all that its predecessor had promised.
     Whole {
@@ -57,7 +57,7 @@
 
 impl StoreView {
     /// Carries out a change; `false` if it does not fit the view.
-    pub fn change(&mut self, change: &StoreChange) -> bool {
+    pub fn apply(&mut self, change: &StoreChange) -> bool {
         let fits = match change {
             StoreChange::Form(hellos) => self.form(hellos),
             StoreChange::Swap { out, new } => self.swap(*out, new),
@@ -69,7 +69,7 @@
         fits
     }
 
-    fn form(&mut self, hellos: &[Hello]) -> bool {
+    fn form(&mut self, hellos: &[StoreAnnouncement]) -> bool {
         if self.epoch > 0 || hellos.is_empty() {
             return false;
         }
@@ -81,7 +81,7 @@
         true
     }
 
-    fn swap(&mut self, out: u64, new: &Hello) -> bool {
+    fn swap(&mut self, out: u64, new: &StoreAnnouncement) -> bool {
         let known = self.member(new.identity).is_some();
         let place = self.members.iter().position(|it| it.identity == out);
         let (Some(place), false) = (place, known) else {
@@ -89,7 +89,7 @@
         };
         self.epoch += 1;
         let mut joining = member(new, self.epoch);
-        let sources = self.members.iter().map(|it| Source {
+        let sources = self.members.iter().map(|it| CopySource {
             identity: it.identity,
             addr: it.addr,
             whole: it.whole,
@@ -131,7 +131,7 @@
 }
 
 /// The member that a hello stands for.
-fn member(hello: &Hello, joined: u64) -> StoreMember {
+fn member(hello: &StoreAnnouncement, joined: u64) -> StoreMember {
     StoreMember {
         host: hello.host.clone(),
         identity: hello.identity,
@@ -144,38 +144,38 @@
 
 /// When members are exchanged.
 #[derive(Debug, Clone, Copy)]
-pub struct RosterSettings {
+pub struct MembershipSettings {
     /// Members that a view should have: two for each loss to be borne, and one.
     pub members: usize,
     /// Time that first members have to be heard, from the first one.
     pub form_after: Duration,
     /// Time after which fewer than `members` form a view.
-    pub form_anyway_after: Duration,
+    pub form_partial_after: Duration,
     /// Silence after which a host that came since takes a member's place.
     pub replace_after: Duration,
     /// Silence after which any spare host takes a member's place.
-    pub spare_after: Duration,
+    pub replace_with_spare_after: Duration,
 }
 
-impl Default for RosterSettings {
+impl Default for MembershipSettings {
     fn default() -> Self {
         Self {
             members: 3,
             // Hosts start within 0.3 s of each other.
             form_after: Duration::from_millis(500),
             // Traffic starts 10 s after the hosts do.
-            form_anyway_after: Duration::from_secs(6),
+            form_partial_after: Duration::from_secs(6),
             // Several hellos, and less than the 4.8 s in which a successor must be whole.
             replace_after: Duration::from_millis(1_500),
             // Longer than an ordinary freeze: a swap copies everything.
-            spare_after: Duration::from_secs(8),
+            replace_with_spare_after: Duration::from_secs(8),
         }
     }
 }
 
 #[derive(Debug)]
 struct Heard {
-    hello: Hello,
+    hello: StoreAnnouncement,
     first: Time,
     last: Time,
 }
@@ -183,17 +183,17 @@
 /// What the leader of the control group has heard of store hosts, and what it
 /// makes of it. Soft: a new leader hears it again.
 #[derive(Debug, Default)]
-pub struct Roster {
-    cfg: RosterSettings,
+pub struct MembershipPlanner {
+    cfg: MembershipSettings,
     heard: IndexMap<Box<str>, Heard>,
     /// Since when this leader has listened.
     since: Time,
 }
 
-impl Roster {
+impl MembershipPlanner {
     /// A roster that has heard nobody.
     #[must_use]
-    pub fn new(cfg: RosterSettings, now: Time) -> Self {
+    pub fn new(cfg: MembershipSettings, now: Time) -> Self {
         Self {
             cfg,
             since: now,
@@ -202,7 +202,7 @@
     }
 
     /// Takes what a host says of itself.
-    pub fn hear(&mut self, now: Time, hello: Hello) {
+    pub fn record_announcement(&mut self, now: Time, hello: StoreAnnouncement) {
         match self.heard.get_mut(&hello.host) {
             Some(heard) if heard.hello.identity == hello.identity => {
                 heard.hello = hello;
@@ -227,13 +227,13 @@
 
     /// Whether enough hosts would be left without `host`.
     #[must_use]
-    pub fn can_spare(&self, now: Time, view: &StoreView, host: &str) -> bool {
-        view.on_host(host).is_none() || self.spare(now, view, Some(host)).is_some()
+    pub fn can_retire(&self, now: Time, view: &StoreView, host: &str) -> bool {
+        view.member_on_host(host).is_none() || self.spare(now, view, Some(host)).is_some()
     }
 
     /// The next change of the view, if one is due.
     #[must_use]
-    pub fn next(&self, now: Time, view: &StoreView) -> Option<StoreChange> {
+    pub fn next_change(&self, now: Time, view: &StoreView) -> Option<StoreChange> {
         if view.epoch == 0 {
             return self.form(now);
         }
@@ -246,14 +246,14 @@
     fn form(&self, now: Time) -> Option<StoreChange> {
         let first = self.heard.values().map(|it| it.first).min()?;
         let waited = now.since(first);
-        let mut hellos: Vec<&Hello> = self
+        let mut hellos: Vec<&StoreAnnouncement> = self
             .heard
             .values()
             .map(|it| &it.hello)
             .filter(|hello| hello.bootstrap)
             .collect();
         let enough = hellos.len() >= self.cfg.members && waited >= self.cfg.form_after;
-        let anyway = !hellos.is_empty() && waited >= self.cfg.form_anyway_after;
+        let anyway = !hellos.is_empty() && waited >= self.cfg.form_partial_after;
         if !enough && !anyway {
             return None;
         }
@@ -314,7 +314,7 @@
             let silence = now.since(last);
             let spare = self.spare(now, view, None)?;
             let came_since = spare.first > last && silence >= self.cfg.replace_after;
-            let due = retiring || came_since || silence >= self.cfg.spare_after;
+            let due = retiring || came_since || silence >= self.cfg.replace_with_spare_after;
             due.then_some((member.identity, spare))
         });
         let (out, spare) = out?;
@@ -328,7 +328,7 @@
     fn spare(&self, now: Time, view: &StoreView, without: Option<&str>) -> Option<&Heard> {
         let spares = self.heard.values().filter(|it| {
             let host = &*it.hello.host;
-            view.on_host(host).is_none()
+            view.member_on_host(host).is_none()
                 && view.member(it.hello.identity).is_none()
                 && !view.retiring.iter().any(|retiring| &**retiring == host)
                 && Some(host) != without
@@ -339,8 +339,8 @@
 }
 
 /// Takes `count` hosts, one of each data centre by turns.
-fn spread(hellos: &[&Hello], count: usize) -> Vec<Hello> {
-    let mut centres: IndexMap<&str, Vec<&Hello>> = IndexMap::new();
+fn spread(hellos: &[&StoreAnnouncement], count: usize) -> Vec<StoreAnnouncement> {
+    let mut centres: IndexMap<&str, Vec<&StoreAnnouncement>> = IndexMap::new();
     for hello in hellos {
         centres.entry(&hello.data_centre).or_default().push(hello);
     }
--- a/crates/quay_turns/src/shelf.rs
+++ b/crates/quay_turns/src/store_index.rs
@@ -1,7 +1,7 @@
 //! What one store holds, without the bytes.
 
 use {
-    crate::{Charge, ChargeBook, Record},
+    crate::{Charge, ChargeSet, Record},
     indexmap::IndexMap,
     quay_types::{ProgramTag, Time, TurnId},
     std::time::Duration,
@@ -9,7 +9,7 @@
 
 /// Where the bytes of a record are.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Place {
+pub struct RecordLocation {
     /// File.
     pub segment: u64,
     /// First byte.
@@ -20,20 +20,20 @@
 
 /// How long a store keeps what it holds.
 #[derive(Debug, Clone, Copy)]
-pub struct ShelfSettings {
+pub struct StoreIndexSettings {
     /// Time for which charges are kept after the latest of their program.
-    pub keep_charges: Duration,
+    pub charge_retention: Duration,
     /// Time added to what a turn asks for, since hosts learn of it at
     /// different times.
-    pub margin: Duration,
+    pub retention_margin: Duration,
 }
 
-impl Default for ShelfSettings {
+impl Default for StoreIndexSettings {
     fn default() -> Self {
         Self {
             // Longer than any retention in the deployments' tables (60 s).
-            keep_charges: Duration::from_mins(2),
-            margin: Duration::from_secs(15),
+            charge_retention: Duration::from_mins(2),
+            retention_margin: Duration::from_secs(15),
         }
     }
 }
@@ -47,9 +47,9 @@
 
 /// Turns of a chain, newest first.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Chain {
+pub struct TurnChain {
     /// Places of the turns that are held.
-    pub places: Vec<(TurnId, Place)>,
+    pub locations: Vec<(TurnId, RecordLocation)>,
     /// The turn at which the chain breaks off, if it does.
     pub missing: Option<TurnId>,
 }
@@ -59,7 +59,7 @@
     /// Rises with each turn that is taken.
     number: u64,
     prior: Option<TurnId>,
-    place: Place,
+    place: RecordLocation,
     expires: Time,
 }
 
@@ -67,14 +67,14 @@
 struct HeldCharges {
     /// Rises with each program that is taken.
     number: u64,
-    book: ChargeBook,
+    book: ChargeSet,
     expires: Time,
 }
 
 /// What one store holds, without the bytes.
 #[derive(Debug, Default)]
-pub struct Shelf {
-    cfg: ShelfSettings,
+pub struct StoreIndex {
+    cfg: StoreIndexSettings,
     turns: IndexMap<TurnId, HeldTurn>,
     programs: IndexMap<ProgramTag, HeldCharges>,
     /// Turns and programs that were ever taken.
@@ -89,10 +89,10 @@
     segments: IndexMap<u64, Time>,
 }
 
-impl Shelf {
+impl StoreIndex {
     /// An empty shelf.
     #[must_use]
-    pub fn new(cfg: ShelfSettings) -> Self {
+    pub fn new(cfg: StoreIndexSettings) -> Self {
         Self {
             cfg,
             ..Self::default()
@@ -100,10 +100,10 @@
     }
 
     /// Takes that a record is synced at a place.
-    pub fn saved(&mut self, now: Time, record: &Record, place: Place) {
+    pub fn insert(&mut self, now: Time, record: &Record, place: RecordLocation) {
         let expires = match record {
             Record::Turn(turn) => {
-                let keep = Duration::from_secs(turn.keep_s.into()) + self.cfg.margin;
+                let keep = Duration::from_secs(turn.retention_s.into()) + self.cfg.retention_margin;
                 let expires = now + keep;
                 self.taken += 1;
                 let held = HeldTurn {
@@ -126,8 +126,8 @@
                         number,
                         ..HeldCharges::default()
                     });
-                held.book.take(*charge);
-                held.expires = now + self.cfg.keep_charges;
+                held.book.merge(*charge);
+                held.expires = now + self.cfg.charge_retention;
                 held.expires
             }
             Record::Epoch(epoch) => {
@@ -184,13 +184,13 @@
 
     /// Epoch in which the store joined and since when it takes writes; 0 before.
     #[must_use]
-    pub const fn open(&self) -> u64 {
+    pub const fn open_epoch(&self) -> u64 {
         self.open
     }
 
     /// Epoch in which the store joined and since when it is whole; 0 before.
     #[must_use]
-    pub const fn whole(&self) -> u64 {
+    pub const fn whole_epoch(&self) -> u64 {
         self.whole
     }
 
@@ -218,13 +218,13 @@
 
     /// A turn and all before it, as far as they are held.
     #[must_use]
-    pub fn chain(&self, last: TurnId) -> Chain {
-        let mut chain = Chain::default();
+    pub fn chain(&self, last: TurnId) -> TurnChain {
+        let mut chain = TurnChain::default();
         let mut next = Some(last);
         while let Some(id) = next {
             match self.turns.get(&id) {
-                Some(held) if chain.places.len() < self.turns.len() => {
-                    chain.places.push((id, held.place));
+                Some(held) if chain.locations.len() < self.turns.len() => {
+                    chain.locations.push((id, held.place));
                     next = held.prior;
                 }
                 // A chain longer than all turns runs in a circle.
@@ -249,7 +249,7 @@
 
     /// Where a turn is, if it is held.
     #[must_use]
-    pub fn place(&self, turn: TurnId) -> Option<Place> {
+    pub fn location(&self, turn: TurnId) -> Option<RecordLocation> {
         self.turns.get(&turn).map(|held| held.place)
     }
 
@@ -269,7 +269,7 @@
 
     /// Turns that are held.
     #[must_use]
-    pub fn turns(&self) -> usize {
+    pub fn turn_count(&self) -> usize {
         self.turns.len()
     }
 
--- a/crates/quay_turns/src/tally.rs
+++ b/crates/quay_turns/src/tally.rs
@@ -1,7 +1,7 @@
 //! What a front makes of the answers of stores.
 
 use {
-    crate::{Charge, ChargeBook, StoreView},
+    crate::{Charge, ChargeSet, StoreView},
     indexmap::IndexSet,
     quay_types::{AttemptTag, Tokens},
 };
@@ -10,7 +10,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteVerdict {
     /// More answers are needed.
-    Open,
+    Pending,
     /// A write quorum has synced it.
     Durable,
     /// Too few members are left that could sync it.
@@ -22,7 +22,7 @@
 pub struct WriteTally {
     members: usize,
     needed: usize,
-    took: IndexSet<u64>,
+    synced: IndexSet<u64>,
     failed: IndexSet<u64>,
 }
 
@@ -33,14 +33,14 @@
         Self {
             members: view.members.len(),
             needed: view.write_quorum(),
-            took: IndexSet::new(),
+            synced: IndexSet::new(),
             failed: IndexSet::new(),
         }
     }
 
     /// A member has synced the write.
-    pub fn took(&mut self, identity: u64) {
-        self.took.insert(identity);
+    pub fn synced(&mut self, identity: u64) {
+        self.synced.insert(identity);
     }
 
     /// A member did not answer, or refused.
@@ -51,12 +51,12 @@
     /// How the write stands.
     #[must_use]
     pub fn verdict(&self) -> WriteVerdict {
-        if self.members > 0 && self.took.len() >= self.needed {
+        if self.members > 0 && self.synced.len() >= self.needed {
             WriteVerdict::Durable
         } else if self.members - self.failed.len() < self.needed || self.members == 0 {
             WriteVerdict::Failed
         } else {
-            WriteVerdict::Open
+            WriteVerdict::Pending
         }
     }
 }
@@ -65,7 +65,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChargeVerdict {
     /// More answers are needed.
-    Open,
+    Pending,
     /// The reservation is durable and the budget covers it.
     Covered,
     /// The budget does not cover it.
@@ -74,7 +74,7 @@
         others: Tokens,
     },
     /// Too few members have answered to be sure.
-    Unsure,
+    Undetermined,
 }
 
 /// Counts the answers to a reservation.
@@ -87,7 +87,7 @@
     whole: IndexSet<u64>,
     whole_members: IndexSet<u64>,
     needed_whole: usize,
-    book: ChargeBook,
+    book: ChargeSet,
     own: Charge,
     budget: Tokens,
 }
@@ -97,8 +97,8 @@
     #[must_use]
     pub fn new(view: &StoreView, own: Charge, budget: Tokens) -> Self {
         let whole = view.members.iter().filter(|it| it.whole);
-        let mut book = ChargeBook::default();
-        book.take(own);
+        let mut book = ChargeSet::default();
+        book.merge(own);
         Self {
             write: WriteTally::new(view),
             whole: IndexSet::new(),
@@ -111,11 +111,11 @@
     }
 
     /// A member has synced the reservation and tells all charges it holds.
-    pub fn took(&mut self, identity: u64, charges: impl IntoIterator<Item = Charge>) {
+    pub fn synced(&mut self, identity: u64, charges: impl IntoIterator<Item = Charge>) {
         for charge in charges {
-            self.book.take(charge);
+            self.book.merge(charge);
         }
-        self.write.took(identity);
+        self.write.synced(identity);
         if self.whole_members.contains(&identity) {
             self.whole.insert(identity);
         }
@@ -136,7 +136,7 @@
     /// How the reservation stands.
     #[must_use]
     pub fn verdict(&self) -> ChargeVerdict {
-        let others = self.book.total_without(self.own.attempt);
+        let others = self.book.total_excluding(self.own.attempt);
         // Charges only add up: what some members know is a lower bound.
         if others.0 + self.own.tokens.0 > self.budget.0 && self.seen() {
             return ChargeVerdict::Spent { others };
@@ -144,12 +144,12 @@
         if self.write.verdict() == WriteVerdict::Failed
             || self.whole_members.len() < self.needed_whole
         {
-            return ChargeVerdict::Unsure;
+            return ChargeVerdict::Undetermined;
         }
         if self.write.verdict() == WriteVerdict::Durable && self.seen() {
             ChargeVerdict::Covered
         } else {
-            ChargeVerdict::Open
+            ChargeVerdict::Pending
         }
     }
 
@@ -163,11 +163,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LookupVerdict {
     /// More answers are needed.
-    Open,
+    Pending,
     /// No member has it, and none may.
     Absent,
     /// Too few members have answered to be sure.
-    Unsure,
+    Undetermined,
 }
 
 /// Counts the members that do not hold a turn.
@@ -175,7 +175,7 @@
 pub struct LookupTally {
     needed: usize,
     candidates: IndexSet<u64>,
-    denied: IndexSet<u64>,
+    not_found: IndexSet<u64>,
     waiting: IndexSet<u64>,
 }
 
@@ -187,16 +187,16 @@
         Self {
             needed: view.read_quorum(),
             candidates: whole.map(|it| it.identity).collect(),
-            denied: IndexSet::new(),
+            not_found: IndexSet::new(),
             waiting: view.members.iter().map(|it| it.identity).collect(),
         }
     }
 
     /// A member does not hold it.
-    pub fn denied(&mut self, identity: u64) {
+    pub fn not_found(&mut self, identity: u64) {
         self.waiting.shift_remove(&identity);
         if self.candidates.contains(&identity) {
-            self.denied.insert(identity);
+            self.not_found.insert(identity);
         }
     }
 
@@ -209,11 +209,11 @@
     #[must_use]
     pub fn verdict(&self) -> LookupVerdict {
         if !self.waiting.is_empty() {
-            LookupVerdict::Open
-        } else if self.needed > 0 && self.denied.len() >= self.needed {
+            LookupVerdict::Pending
+        } else if self.needed > 0 && self.not_found.len() >= self.needed {
             LookupVerdict::Absent
         } else {
-            LookupVerdict::Unsure
+            LookupVerdict::Undetermined
         }
     }
 }
--- a/crates/quay_turns/src/turn.rs
+++ b/crates/quay_turns/src/turn.rs
@@ -14,7 +14,7 @@
     /// The turn that it continues from.
     pub prior: Option<TurnId>,
     /// Seconds for which it is kept.
-    pub keep_s: u32,
+    pub retention_s: u32,
     /// New input of the turn.
     #[serde(with = "quay_types::bytes")]
     pub input: Box<[u8]>,
--- a/crates/quay_turns/src/view.rs
+++ b/crates/quay_turns/src/view.rs
@@ -7,7 +7,7 @@
 
 /// A member that another one copies from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Source {
+pub struct CopySource {
     /// Its identity.
     pub identity: u64,
     /// Address of its links.
@@ -34,7 +34,7 @@
     pub joined: u64,
     /// Members of the view before it joined; it copies from them while it is
     /// not whole.
-    pub sources: Vec<Source>,
+    pub sources: Vec<CopySource>,
     /// Whole sources that it must have copied from to be whole.
     pub needed: usize,
 }
@@ -91,7 +91,7 @@
 
     /// The sources of a joining member, at the addresses of this view.
     #[must_use]
-    pub fn sources_of<'a>(&'a self, joining: &'a StoreMember) -> &'a [Source] {
+    pub fn sources_of<'a>(&'a self, joining: &'a StoreMember) -> &'a [CopySource] {
         let known = self.member(joining.identity);
         let known = known.filter(|member| member.joined == joining.joined);
         &known.unwrap_or(joining).sources
@@ -99,7 +99,7 @@
 
     /// Whether a source of a joining member is whole: it was, or has become so.
     #[must_use]
-    pub fn source_is_whole(&self, source: &Source) -> bool {
+    pub fn source_is_whole(&self, source: &CopySource) -> bool {
         match self.member(source.identity) {
             Some(member) => member.whole,
             None => source.whole,
@@ -112,7 +112,7 @@
     /// members of that time, which meets every `needed` whole ones. Where so
     /// many are not left, more than what all members hold can't be had.
     #[must_use]
-    pub fn suffices(&self, joining: &StoreMember, copied: &[u64]) -> bool {
+    pub fn copy_is_complete(&self, joining: &StoreMember, copied: &[u64]) -> bool {
         let whole = joining
             .sources
             .iter()
@@ -124,7 +124,7 @@
 
     /// The member on a host.
     #[must_use]
-    pub fn on_host(&self, host: &str) -> Option<&StoreMember> {
+    pub fn member_on_host(&self, host: &str) -> Option<&StoreMember> {
         self.members.iter().find(|it| &*it.host == host)
     }
 
--- a/crates/quay_turns/tests/roster.rs
+++ b/crates/quay_turns/tests/membership.rs
@@ -1,12 +1,14 @@
 //! How members of the stores are exchanged.
 
 use {
-    quay_turns::{Hello, Roster, RosterSettings, StoreChange, StoreView},
+    quay_turns::{
+        MembershipPlanner, MembershipSettings, StoreAnnouncement, StoreChange, StoreView,
+    },
     quay_types::Time,
 };
 
-fn hello(host: &str, identity: u64) -> Hello {
-    Hello {
+fn hello(host: &str, identity: u64) -> StoreAnnouncement {
+    StoreAnnouncement {
         host: host.into(),
         identity,
         addr: ([127, 0, 0, 1], 7_000).into(),
@@ -21,23 +23,23 @@
 }
 
 /// A view of three members, and a roster that has heard them.
-fn formed() -> (Roster, StoreView) {
-    let mut roster = Roster::new(RosterSettings::default(), at(0));
+fn formed() -> (MembershipPlanner, StoreView) {
+    let mut roster = MembershipPlanner::new(MembershipSettings::default(), at(0));
     for (host, identity) in [("a", 1), ("b", 2), ("c", 3)] {
-        roster.hear(at(0), hello(host, identity));
+        roster.record_announcement(at(0), hello(host, identity));
     }
     let mut view = StoreView::default();
-    assert_eq!(roster.next(at(100), &view), None, "too early");
-    let form = roster.next(at(600), &view).expect("form");
-    assert!(view.change(&form));
+    assert_eq!(roster.next_change(at(100), &view), None, "too early");
+    let form = roster.next_change(at(600), &view).expect("form");
+    assert!(view.apply(&form));
     (roster, view)
 }
 
 /// Everybody but `silent` says hello from second 1 to `until`.
-fn hear(roster: &mut Roster, hosts: &[(&str, u64)], until: u64) {
+fn hear(roster: &mut MembershipPlanner, hosts: &[(&str, u64)], until: u64) {
     for millis in (1_000..=until).step_by(300) {
         for (host, identity) in hosts {
-            roster.hear(at(millis), hello(host, *identity));
+            roster.record_announcement(at(millis), hello(host, *identity));
         }
     }
 }
@@ -47,20 +49,20 @@
     let (_, mut view) = formed();
     assert_eq!((view.epoch, view.members.len()), (1, 3));
     assert!(view.all_whole());
-    assert!(!view.change(&StoreChange::Form(vec![hello("x", 9)])));
+    assert!(!view.apply(&StoreChange::Form(vec![hello("x", 9)])));
 }
 
 #[test]
 fn a_host_that_lost_its_disk_takes_its_own_place() {
     let (mut roster, mut view) = formed();
-    roster.hear(at(1_000), hello("b", 20));
-    let change = roster.next(at(1_000), &view).expect("swap");
-    assert!(view.change(&change));
+    roster.record_announcement(at(1_000), hello("b", 20));
+    let change = roster.next_change(at(1_000), &view).expect("swap");
+    assert!(view.apply(&change));
     let member = view.member(20).expect("member");
     assert!(!member.whole);
     assert_eq!(member.needed, 2);
-    assert!(!view.suffices(member, &[1]));
-    assert!(view.suffices(member, &[1, 3]));
+    assert!(!view.copy_is_complete(member, &[1]));
+    assert!(view.copy_is_complete(member, &[1, 3]));
 }
 
 #[test]
@@ -68,23 +70,23 @@
     let (_, mut view) = formed();
     for (out, host, new) in [(2, "b", 20), (3, "c", 30)] {
         let new = Box::new(hello(host, new));
-        assert!(view.change(&StoreChange::Swap { out, new }));
+        assert!(view.apply(&StoreChange::Swap { out, new }));
     }
     let second = view.member(30).expect("member").clone();
-    assert!(!view.suffices(&second, &[1]), "b is not whole yet");
-    assert!(view.change(&StoreChange::Whole {
+    assert!(!view.copy_is_complete(&second, &[1]), "b is not whole yet");
+    assert!(view.apply(&StoreChange::Whole {
         identity: 20,
         joined: 2
     }));
-    assert!(view.suffices(&second, &[1, 20]));
+    assert!(view.copy_is_complete(&second, &[1, 20]));
 }
 
 #[test]
 fn a_newcomer_takes_the_place_of_a_member_that_fell_silent_before() {
     let (mut roster, view) = formed();
     hear(&mut roster, &[("a", 1), ("b", 2)], 4_000);
-    roster.hear(at(4_000), hello("d", 4));
-    let change = roster.next(at(4_000), &view);
+    roster.record_announcement(at(4_000), hello("d", 4));
+    let change = roster.next_change(at(4_000), &view);
     assert!(
         matches!(change, Some(StoreChange::Swap { out: 3, .. })),
         "{change:?}"
@@ -94,24 +96,24 @@
 #[test]
 fn an_old_spare_leaves_a_frozen_member_its_place() {
     let (mut roster, view) = formed();
-    roster.hear(at(0), hello("d", 4));
+    roster.record_announcement(at(0), hello("d", 4));
     hear(&mut roster, &[("a", 1), ("b", 2), ("d", 4)], 6_000);
-    assert_eq!(roster.next(at(6_000), &view), None);
+    assert_eq!(roster.next_change(at(6_000), &view), None);
 }
 
 #[test]
 fn a_retired_member_goes_only_if_another_host_can_take_its_place() {
     let (mut roster, mut view) = formed();
     hear(&mut roster, &[("a", 1), ("b", 2), ("c", 3)], 2_000);
-    assert!(!roster.can_spare(at(2_000), &view, "a"));
-    roster.hear(at(2_000), hello("d", 4));
-    assert!(roster.can_spare(at(2_000), &view, "a"));
-    assert!(view.change(&StoreChange::Retire("a".into())));
-    let change = roster.next(at(2_000), &view).expect("swap");
-    assert!(view.change(&change));
+    assert!(!roster.can_retire(at(2_000), &view, "a"));
+    roster.record_announcement(at(2_000), hello("d", 4));
+    assert!(roster.can_retire(at(2_000), &view, "a"));
+    assert!(view.apply(&StoreChange::Retire("a".into())));
+    let change = roster.next_change(at(2_000), &view).expect("swap");
+    assert!(view.apply(&change));
     let newcomer = view.member(4).expect("member");
     // The one that goes is alive and still holds what it acknowledged.
-    assert!(view.suffices(newcomer, &[1, 2]));
+    assert!(view.copy_is_complete(newcomer, &[1, 2]));
 }
 
 #[test]
@@ -122,8 +124,8 @@
         out: 99,
         new: Box::new(hello("d", 4)),
     };
-    assert!(!view.change(&stray));
-    assert!(!view.change(&StoreChange::Whole {
+    assert!(!view.apply(&stray));
+    assert!(!view.apply(&StoreChange::Whole {
         identity: 1,
         joined: 1
     }));
@@ -133,28 +135,28 @@
 #[test]
 fn a_member_that_comes_back_at_another_address_is_found_there() {
     let (mut roster, mut view) = formed();
-    let moved = Hello {
+    let moved = StoreAnnouncement {
         addr: ([127, 0, 0, 1], 7_777).into(),
         ..hello("b", 2)
     };
-    roster.hear(at(1_000), moved.clone());
-    let change = roster.next(at(1_000), &view).expect("change");
-    assert!(view.change(&change));
+    roster.record_announcement(at(1_000), moved.clone());
+    let change = roster.next_change(at(1_000), &view).expect("change");
+    assert!(view.apply(&change));
     let member = view.member(2).expect("member");
     assert_eq!((member.addr, member.whole), (moved.addr, true));
-    assert_eq!(roster.next(at(1_000), &view), None);
+    assert_eq!(roster.next_change(at(1_000), &view), None);
 }
 
 #[test]
 fn a_joining_member_finds_its_sources_where_they_have_moved() {
     let (mut roster, mut view) = formed();
-    roster.hear(at(1_000), hello("b", 20));
-    let change = roster.next(at(1_000), &view).expect("swap");
-    assert!(view.change(&change));
+    roster.record_announcement(at(1_000), hello("b", 20));
+    let change = roster.next_change(at(1_000), &view).expect("swap");
+    assert!(view.apply(&change));
     // What the joining store knew when it began to copy.
     let joining = view.member(20).expect("member").clone();
     let elsewhere = ([127, 0, 0, 1], 7_100).into();
-    assert!(view.change(&StoreChange::Moved {
+    assert!(view.apply(&StoreChange::Moved {
         identity: 3,
         addr: elsewhere,
     }));
--- a/crates/quay_turns/tests/quorums.rs
+++ b/crates/quay_turns/tests/quorums.rs
@@ -3,7 +3,7 @@
 use {
     proptest::prelude::*,
     quay_turns::{
-        Charge, ChargeBook, ChargeTally, ChargeVerdict, LookupTally, LookupVerdict, Standing,
+        Charge, ChargeSet, ChargeStatus, ChargeTally, ChargeVerdict, LookupTally, LookupVerdict,
         StoreMember, StoreView, WriteTally, WriteVerdict,
     },
     quay_types::{AttemptTag, Tokens},
@@ -26,7 +26,7 @@
 fn reserved(attempt: u64, tokens: u64) -> Charge {
     Charge {
         attempt: AttemptTag(attempt),
-        standing: Standing::Reserved,
+        standing: ChargeStatus::Reserved,
         tokens: Tokens(tokens),
     }
 }
@@ -34,10 +34,10 @@
 #[test]
 fn a_write_is_durable_with_a_majority() {
     let mut tally = WriteTally::new(&view(3));
-    tally.took(1);
+    tally.synced(1);
     tally.failed(2);
-    assert_eq!(tally.verdict(), WriteVerdict::Open);
-    tally.took(3);
+    assert_eq!(tally.verdict(), WriteVerdict::Pending);
+    tally.synced(3);
     assert_eq!(tally.verdict(), WriteVerdict::Durable);
 }
 
@@ -58,13 +58,13 @@
     let mut view = view(3);
     view.members[2].whole = false;
     let mut tally = LookupTally::new(&view);
-    tally.denied(1);
-    tally.denied(3);
+    tally.not_found(1);
+    tally.not_found(3);
     tally.failed(2);
-    assert_eq!(tally.verdict(), LookupVerdict::Unsure);
+    assert_eq!(tally.verdict(), LookupVerdict::Undetermined);
     let mut tally = LookupTally::new(&view);
-    tally.denied(1);
-    tally.denied(2);
+    tally.not_found(1);
+    tally.not_found(2);
     tally.failed(3);
     assert_eq!(tally.verdict(), LookupVerdict::Absent);
 }
@@ -74,35 +74,35 @@
     let mut view = view(3);
     view.members[2].whole = false;
     let mut tally = ChargeTally::new(&view, reserved(1, 10), Tokens(100));
-    tally.took(1, []);
-    tally.took(3, []);
-    assert_eq!(tally.verdict(), ChargeVerdict::Open);
+    tally.synced(1, []);
+    tally.synced(3, []);
+    assert_eq!(tally.verdict(), ChargeVerdict::Pending);
     tally.failed(2);
-    assert_eq!(tally.verdict(), ChargeVerdict::Unsure);
+    assert_eq!(tally.verdict(), ChargeVerdict::Undetermined);
 }
 
 #[test]
 fn a_settled_charge_replaces_a_reserved_one_in_any_order() {
     let settled = Charge {
-        standing: Standing::Settled,
+        standing: ChargeStatus::Settled,
         tokens: Tokens(3),
         ..reserved(1, 10)
     };
     for order in [[reserved(1, 10), settled], [settled, reserved(1, 10)]] {
-        let mut book = ChargeBook::default();
+        let mut book = ChargeSet::default();
         for charge in order {
-            book.take(charge);
+            book.merge(charge);
         }
-        assert_eq!(book.total_without(AttemptTag(2)), Tokens(3));
+        assert_eq!(book.total_excluding(AttemptTag(2)), Tokens(3));
     }
 }
 
 #[test]
 fn a_spent_budget_is_refused_with_what_others_hold() {
     let mut tally = ChargeTally::new(&view(3), reserved(1, 10), Tokens(100));
-    tally.took(1, [reserved(2, 91)]);
-    assert_eq!(tally.verdict(), ChargeVerdict::Open);
-    tally.took(2, []);
+    tally.synced(1, [reserved(2, 91)]);
+    assert_eq!(tally.verdict(), ChargeVerdict::Pending);
+    tally.synced(2, []);
     let others = Tokens(91);
     assert_eq!(tally.verdict(), ChargeVerdict::Spent { others });
 }
@@ -124,7 +124,7 @@
     ) {
         const MOST: u64 = 10;
         let view = view(3);
-        let mut stores = vec![ChargeBook::default(); 3];
+        let mut stores = vec![ChargeSet::default(); 3];
         let own = |attempt: usize| reserved(attempt as u64 + 1, MOST);
         let mut tallies: Vec<_> =
             (0..6).map(|it| ChargeTally::new(&view, own(it), Tokens(budget))).collect();
@@ -134,9 +134,9 @@
             if covered[step.attempt] {
                 continue;
             }
-            stores[step.store].take(own(step.attempt));
+            stores[step.store].merge(own(step.attempt));
             let held: Vec<_> = stores[step.store].charges().collect();
-            tallies[step.attempt].took(step.store as u64 + 1, held);
+            tallies[step.attempt].synced(step.store as u64 + 1, held);
             covered[step.attempt] = tallies[step.attempt].verdict() == ChargeVerdict::Covered;
         }
         let total = covered.iter().filter(|it| **it).count() as u64 * MOST;
@@ -154,10 +154,10 @@
         let mut lookup = LookupTally::new(&view);
         let mut found = false;
         for (identity, (took, answers)) in (1..).zip(took.into_iter().zip(answers)) {
-            if took { write.took(identity) } else { write.failed(identity) }
+            if took { write.synced(identity) } else { write.failed(identity) }
             match (answers, took) {
                 (true, true) => found = true,
-                (true, false) => lookup.denied(identity),
+                (true, false) => lookup.not_found(identity),
                 (false, _) => lookup.failed(identity),
             }
         }
--- a/crates/quay_turns/tests/shelf.rs
+++ b/crates/quay_turns/tests/store_index.rs
@@ -1,7 +1,10 @@
 //! What a store holds and for how long.
 
 use {
-    quay_turns::{Charge, Place, Record, Shelf, ShelfSettings, StaleView, Standing, TurnRecord},
+    quay_turns::{
+        Charge, ChargeStatus, Record, RecordLocation, StaleView, StoreIndex, StoreIndexSettings,
+        TurnRecord,
+    },
     quay_types::{AttemptTag, ProgramTag, Time, Tokens, TurnId},
 };
 
@@ -9,14 +12,14 @@
     Record::Turn(TurnRecord {
         id: TurnId(id),
         prior: prior.map(TurnId),
-        keep_s: 60,
+        retention_s: 60,
         input: [1].into(),
         output: [2].into(),
     })
 }
 
-fn place(segment: u64, offset: u64) -> Place {
-    Place {
+fn place(segment: u64, offset: u64) -> RecordLocation {
+    RecordLocation {
         segment,
         offset,
         len: 10,
@@ -27,43 +30,43 @@
     Time::from_millis(seconds * 1_000)
 }
 
-fn shelf() -> Shelf {
-    Shelf::new(ShelfSettings::default())
+fn shelf() -> StoreIndex {
+    StoreIndex::new(StoreIndexSettings::default())
 }
 
 #[test]
 fn a_chain_is_told_newest_first_up_to_what_is_missing() {
     let mut shelf = shelf();
-    shelf.saved(at(0), &turn(2, Some(1)), place(1, 0));
-    shelf.saved(at(0), &turn(3, Some(2)), place(1, 10));
+    shelf.insert(at(0), &turn(2, Some(1)), place(1, 0));
+    shelf.insert(at(0), &turn(3, Some(2)), place(1, 10));
     let chain = shelf.chain(TurnId(3));
-    let ids: Vec<u64> = chain.places.iter().map(|(id, _)| id.0).collect();
+    let ids: Vec<u64> = chain.locations.iter().map(|(id, _)| id.0).collect();
     assert_eq!((ids, chain.missing), (vec![3, 2], Some(TurnId(1))));
 }
 
 #[test]
 fn a_turn_is_kept_with_its_chain() {
     let mut shelf = shelf();
-    shelf.saved(at(0), &turn(1, None), place(1, 0));
-    shelf.saved(at(50), &turn(2, Some(1)), place(2, 0));
+    shelf.insert(at(0), &turn(1, None), place(1, 0));
+    shelf.insert(at(50), &turn(2, Some(1)), place(2, 0));
     // 60 s and the margin after the first turn, but not after the second.
     assert_eq!(shelf.expire(at(90), 3), Vec::<u64>::new());
     assert_eq!(shelf.chain(TurnId(2)).missing, None);
     assert_eq!(shelf.expire(at(130), 3), [1, 2]);
-    assert_eq!(shelf.turns(), 0);
+    assert_eq!(shelf.turn_count(), 0);
 }
 
 #[test]
 fn the_open_file_is_never_dropped() {
     let mut shelf = shelf();
-    shelf.saved(at(0), &turn(1, None), place(1, 0));
+    shelf.insert(at(0), &turn(1, None), place(1, 0));
     assert_eq!(shelf.expire(at(500), 1), Vec::<u64>::new());
 }
 
 #[test]
 fn an_epoch_that_was_seen_ends_earlier_ones() {
     let mut shelf = shelf();
-    shelf.saved(at(0), &Record::Epoch(4), place(1, 0));
+    shelf.insert(at(0), &Record::Epoch(4), place(1, 0));
     assert_eq!(shelf.admit(3), Err(StaleView { seen: 4 }));
     assert_eq!(shelf.admit(4), Ok(()));
 }
@@ -81,11 +84,11 @@
             },
         )
     };
-    let reserved = charge(Standing::Reserved, 10);
-    shelf.saved(at(0), &reserved, place(1, 0));
+    let reserved = charge(ChargeStatus::Reserved, 10);
+    shelf.insert(at(0), &reserved, place(1, 0));
     assert!(shelf.holds(&reserved));
-    assert!(!shelf.holds(&charge(Standing::Settled, 3)));
-    shelf.saved(at(0), &charge(Standing::Settled, 3), place(1, 10));
+    assert!(!shelf.holds(&charge(ChargeStatus::Settled, 3)));
+    shelf.insert(at(0), &charge(ChargeStatus::Settled, 3), place(1, 10));
     assert!(shelf.holds(&reserved), "a late reservation changes nothing");
 }
 
@@ -93,7 +96,7 @@
 fn a_list_goes_on_where_it_stopped_while_turns_expire() {
     let mut shelf = shelf();
     for id in 1..=6 {
-        shelf.saved(at(id * 20), &turn(id, None), place(id, 0));
+        shelf.insert(at(id * 20), &turn(id, None), place(id, 0));
     }
     let first = shelf.turns_after(0, 2);
     let (last, _) = first[1];
--- a/crates/sapphirequay/src/experiment/spread/configuration.rs
+++ b/crates/sapphirequay/src/experiment/spread/configuration.rs
@@ -158,7 +158,10 @@
         let mut queue = Queue::new();
         let daemons = (0..subscribers).map(|number| {
             let mut pacer = Pacer::new(POLL_EVERY);
-            queue.push(Time::ZERO + pacer.wait(rng.random()), Event::Ask(number));
+            queue.push(
+                Time::ZERO + pacer.next_wait(rng.random()),
+                Event::Ask(number),
+            );
             Daemon {
                 subscriber: Subscriber::default(),
                 pacer,
@@ -256,7 +259,7 @@
         let daemon_state = &mut self.daemons[daemon];
         let before = daemon_state.subscriber.image().index;
         let event = daemon_state.subscriber.receive(update, true);
-        let next = now + daemon_state.pacer.wait(random);
+        let next = now + daemon_state.pacer.next_wait(random);
         self.queue.push(next, Event::Ask(daemon));
         if let SubscriberEvent::InForce(index) = event
             && before > ConfigIndex(0)
--- a/crates/sapphirequay/src/experiment/spread/directory.rs
+++ b/crates/sapphirequay/src/experiment/spread/directory.rs
@@ -3,7 +3,7 @@
 use {
     super::{frame_bytes, millis, queue::Queue},
     quay_members::{
-        Directory, HostContact, MembersReply, MembersRequest, MembersSettings, Pacer, View,
+        Directory, DirectoryView, HostContact, MembersReply, MembersRequest, MembersSettings, Pacer,
     },
     quay_types::{
         Announcement, DirectoryEntry, Incarnation, Load, ModelId, Time, UpstreamKind, UpstreamState,
@@ -113,7 +113,7 @@
     queue: Queue<Event>,
     sidecars: Vec<Sidecar>,
     host: Directory,
-    view: View,
+    view: DirectoryView,
     reads: Pacer,
     catch_up: Pacer,
     heard: u64,
@@ -185,7 +185,7 @@
         let settings = MembersSettings::default();
         let sidecars = (0..sidecars).map(|number| {
             let mut pacer = Pacer::new(settings.heartbeat);
-            let at = Time::ZERO + pacer.wait(rng.random());
+            let at = Time::ZERO + pacer.next_wait(rng.random());
             queue.push(at, Event::Announce(number as usize));
             Sidecar {
                 announcement: announcement(number),
@@ -200,7 +200,7 @@
             queue,
             sidecars,
             host: Directory::new(Time::ZERO, 1, settings),
-            view: View::default(),
+            view: DirectoryView::default(),
             reads: Pacer::new(READ_EVERY),
             catch_up: Pacer::new(CATCH_UP_EVERY),
             heard: 0,
@@ -235,13 +235,13 @@
         let sidecar = &mut self.sidecars[number];
         sidecar.announcement.sequence += 1;
         sidecar.announcement.load = load;
-        let req = sidecar.contact.tell(&sidecar.announcement);
+        let req = sidecar.contact.next_request(&sidecar.announcement);
         let bytes = frame_bytes(&LinkRequest::Members(req.clone()))?;
         let reply = self.host.handle(now, req);
         self.heard += 1;
         self.heard_bytes += bytes + frame_bytes(&reply)?;
-        sidecar.contact.heard(Some(&reply));
-        let next = now + sidecar.pacer.wait(random);
+        sidecar.contact.on_reply(Some(&reply));
+        let next = now + sidecar.pacer.next_wait(random);
         self.queue.push(next, Event::Announce(number));
         Ok(())
     }
@@ -249,18 +249,18 @@
     /// The reader reads.
     fn read(&mut self, now: Time) -> Result<(), Box<dyn Error>> {
         self.host.tick(now);
-        let req = self.view.ask(1);
+        let req = self.view.next_request(1);
         let asked = frame_bytes(&LinkRequest::Members(MembersRequest::Changes(req.clone())))?;
         let changes = self.host.changes(now, &req);
         let bytes = frame_bytes(&MembersReply::Changes(changes.clone()))?;
         self.read_bytes.push((now, asked + bytes));
-        self.view.learn(now, changes);
-        let pacer = if self.view.complete() && !self.view.more() {
+        self.view.apply(now, changes);
+        let pacer = if self.view.complete() && !self.view.has_more() {
             &mut self.reads
         } else {
             &mut self.catch_up
         };
-        let next = now + pacer.wait(self.rng.random());
+        let next = now + pacer.next_wait(self.rng.random());
         self.queue.push(next, Event::Read);
         Ok(())
     }
--- a/crates/sapphirequayd/src/gateway/control/api.rs
+++ b/crates/sapphirequayd/src/gateway/control/api.rs
@@ -10,7 +10,7 @@
     http::{Request, Response, StatusCode},
     http_body_util::{BodyExt as _, Limited},
     hyper::body::Incoming,
-    quay_routes::{Dialect, OperatorAnswer, OperatorCall, OperatorFault},
+    quay_routes::{Dialect, OperatorCall, OperatorError, OperatorResponse},
     std::{convert::Infallible, time::Duration},
 };
 
@@ -43,17 +43,17 @@
     let whole = Request::from_parts(head, &body[..]);
     let answer = match host.dialect.operator_call(&whole) {
         Ok(call) => carry_out(host, call, &body).await,
-        Err(OperatorFault::NoSuchCall) => return status(StatusCode::NOT_FOUND),
+        Err(OperatorError::NoSuchCall) => return status(StatusCode::NOT_FOUND),
         Err(fault) => {
             log::info!("event=operator_call_refused path={path} cause=\"{fault}\"");
-            OperatorAnswer::Invalid(fault.to_string().into())
+            OperatorResponse::Invalid(fault.to_string().into())
         }
     };
-    if answer == OperatorAnswer::Unsure {
+    if answer == OperatorResponse::Unavailable {
         log::warn!("event=operator_call_unsure path={path}");
     }
     host.dialect
-        .operator_answer(&answer)
+        .operator_response(&answer)
         .map(|body| full(Bytes::from(body.into_vec())))
 }
 
@@ -68,13 +68,13 @@
     host: &ControlHost<D>,
     call: OperatorCall,
     body: &Bytes,
-) -> OperatorAnswer {
+) -> OperatorResponse {
     let (req, what) = match call {
         OperatorCall::PutTable => match table_text(&host.dialect, body) {
             Ok(table) => (ControlRequest::PutTable(table), "table".into()),
             Err(why) => {
                 log::info!("event=table_refused cause=\"{why}\"");
-                return OperatorAnswer::Invalid(why);
+                return OperatorResponse::Invalid(why);
             }
         },
         OperatorCall::GetTable => (ControlRequest::GetTable, "table".into()),
@@ -98,14 +98,14 @@
 }
 
 /// What a reply is to an operator.
-fn operator_answer(reply: Option<ControlReply>, what: Box<str>) -> OperatorAnswer {
+fn operator_answer(reply: Option<ControlReply>, what: Box<str>) -> OperatorResponse {
     match reply {
-        Some(ControlReply::Done) => OperatorAnswer::Done,
-        Some(ControlReply::Table(Some(table))) => OperatorAnswer::Table(table.document),
-        Some(ControlReply::Retired(done)) => OperatorAnswer::Retired(done),
-        Some(ControlReply::Unknown) => OperatorAnswer::Unknown(what),
-        Some(ControlReply::TooFew) => OperatorAnswer::TooFew,
-        _ => OperatorAnswer::Unsure,
+        Some(ControlReply::Done) => OperatorResponse::Done,
+        Some(ControlReply::Table(Some(table))) => OperatorResponse::Table(table.document),
+        Some(ControlReply::Retired(done)) => OperatorResponse::Retired(done),
+        Some(ControlReply::Unknown) => OperatorResponse::Unknown(what),
+        Some(ControlReply::TooFew) => OperatorResponse::TooFew,
+        _ => OperatorResponse::Unavailable,
     }
 }
 
--- a/crates/sapphirequayd/src/gateway/control/host.rs
+++ b/crates/sapphirequayd/src/gateway/control/host.rs
@@ -250,11 +250,11 @@
             ControlRequest::Retired(host) => {
                 self.as_leader(|leads| {
                     let stores = &leads.state.stores;
-                    if !leads.roster.knows(&host) && stores.on_host(&host).is_none() {
+                    if !leads.roster.knows(&host) && stores.member_on_host(&host).is_none() {
                         return ControlReply::Unknown;
                     }
                     let marked = stores.retiring.contains(&host);
-                    let gone = stores.on_host(&host).is_none() && stores.all_whole();
+                    let gone = stores.member_on_host(&host).is_none() && stores.all_whole();
                     ControlReply::Retired(marked && gone)
                 })
                 .await
@@ -327,9 +327,9 @@
                 let stores = &leads.state.stores;
                 if stores.retiring.contains(&host) {
                     ControlReply::Done
-                } else if !leads.roster.knows(&host) && stores.on_host(&host).is_none() {
+                } else if !leads.roster.knows(&host) && stores.member_on_host(&host).is_none() {
                     ControlReply::Unknown
-                } else if leads.roster.can_spare(now, stores, &host) {
+                } else if leads.roster.can_retire(now, stores, &host) {
                     ControlReply::Retired(false)
                 } else {
                     ControlReply::TooFew
@@ -475,7 +475,7 @@
             leading
                 .as_ref()
                 .filter(|leads| leads.fresh(now))
-                .and_then(|leads| leads.roster.next(now, &leads.state.stores))
+                .and_then(|leads| leads.roster.next_change(now, &leads.state.stores))
         };
         if let Some(change) = change {
             log::info!("event=stores_change change={change:?}");
--- a/crates/sapphirequayd/src/gateway/control/leading.rs
+++ b/crates/sapphirequayd/src/gateway/control/leading.rs
@@ -6,7 +6,7 @@
     indexmap::{IndexMap, IndexSet},
     quay_members::{Changes, Directory, Heartbeat, MembersReply, MembersSettings},
     quay_quorum::{Member, Membership},
-    quay_turns::{Hello, Roster, RosterSettings, StoreView},
+    quay_turns::{MembershipPlanner, MembershipSettings, StoreAnnouncement, StoreView},
     quay_types::{Announcement, Incarnation, NodeId, Time, UpstreamId, UpstreamState},
     std::{
         collections::BTreeMap,
@@ -40,7 +40,7 @@
     /// Latest announcement of each upstream.
     announced: IndexMap<UpstreamId, Announcement>,
     /// Which store hosts have been heard.
-    pub roster: Roster,
+    pub roster: MembershipPlanner,
     /// Replicas that ask to join.
     joins: IndexMap<NodeId, (Member, Time)>,
     /// Since when voters do not answer.
@@ -61,16 +61,16 @@
             lease: Duration::from_secs(8),
             ..MembersSettings::default()
         };
-        let roster = RosterSettings {
+        let roster = MembershipSettings {
             members: 2 * losses + 1,
-            ..RosterSettings::default()
+            ..MembershipSettings::default()
         };
         Self {
             state,
             confirmed: now,
             directory: Directory::new(now, run, members),
             announced: IndexMap::new(),
-            roster: Roster::new(roster, now),
+            roster: MembershipPlanner::new(roster, now),
             joins: IndexMap::new(),
             silent: IndexMap::new(),
             members: Membership::default(),
@@ -252,13 +252,16 @@
     }
 
     /// Takes what a store host says.
-    pub fn hello(&mut self, now: Time, hello: Hello) -> StoreView {
-        self.roster.hear(now, hello);
+    pub fn hello(&mut self, now: Time, hello: StoreAnnouncement) -> StoreView {
+        self.roster.record_announcement(now, hello);
         self.state.stores.clone()
     }
 }
 
 /// Whether changes tell nothing.
 fn is_empty(changes: &Changes) -> bool {
-    !changes.whole && changes.full.is_empty() && changes.loads.is_empty() && changes.gone.is_empty()
+    !changes.reset
+        && changes.full.is_empty()
+        && changes.loads.is_empty()
+        && changes.removed.is_empty()
 }
--- a/crates/sapphirequayd/src/gateway/control/state.rs
+++ b/crates/sapphirequayd/src/gateway/control/state.rs
@@ -66,7 +66,7 @@
         let changed = match command {
             ControlCommand::PutTable(table) => self.put_table(table),
             ControlCommand::Depart(name, run) => self.depart(name, run),
-            ControlCommand::Stores(change) => self.stores.change(&change),
+            ControlCommand::Stores(change) => self.stores.apply(&change),
         };
         self.version += u64::from(changed);
         changed
--- a/crates/sapphirequayd/src/gateway/front/call.rs
+++ b/crates/sapphirequayd/src/gateway/front/call.rs
@@ -19,9 +19,10 @@
     http_body_util::{BodyExt as _, Full, Limited},
     hyper::body::Incoming,
     quay_routes::{
-        Allowance, CallHead, Dialect, Execution, Forwarding, Repeat, Route, TurnHead, UpstreamHead,
+        CallHead, Dialect, Execution, Forwarding, RepeatPolicy, RequestDeadline, Route, TurnHead,
+        UpstreamHead,
     },
-    quay_turns::{Charge, Standing},
+    quay_turns::{Charge, ChargeStatus},
     quay_types::{AttemptTag, ProgramTag, Time, Tokens, TurnId, UpstreamId},
     std::{cell::Cell, time::Duration},
     tokio::time::timeout,
@@ -138,7 +139,7 @@
     parts: &'a request::Parts,
     route: &'a Route,
     arrived: Time,
-    allowance: Allowance,
+    allowance: RequestDeadline,
     service: &'a str,
     event_tokens: u64,
     draw: u64,
@@ -176,7 +177,9 @@
             meters::answered(refusal.status(), took);
             meters::refused(refusal.name());
             let mut response = refusal.answer(draw);
-            front.dialect().own_answer(&head, response.headers_mut());
+            front
+                .dialect()
+                .gateway_response_headers(&head, response.headers_mut());
             response
         }
     };
@@ -198,7 +201,7 @@
     draw: u64,
 ) -> Result<Response<Body>, Refusal> {
     // Without a table the route's own limit is not known yet.
-    let patience = head.patience.unwrap_or(Duration::MAX);
+    let patience = head.caller_timeout.unwrap_or(Duration::MAX);
     let table = front.table_soon(arrived + patience).await;
     let table = table.ok_or(Refusal::NoTable)?;
     let route = table.find(&head.host, &head.path);
@@ -208,14 +211,14 @@
         Refusal::NoTable
     };
     let route = route.ok_or(unknown)?;
-    let allowance = Allowance::new(arrived, head.patience, route.timeout);
+    let allowance = RequestDeadline::new(arrived, head.caller_timeout, route.timeout);
     let share = ProgramTag::of(head.program.as_deref().unwrap_or(&head.id)).0;
     let service = route.target(share).ok_or(Refusal::NoUpstream)?;
     let known = table.service(service);
     let event_tokens = known.map_or(0, |service| service.event_tokens.into());
     let limit = table.limits.body_bytes as usize;
     let body = read_body(front, body, limit, &allowance).await?;
-    front.served_soon(service, allowance.ends()).await;
+    front.served_soon(service, allowance.at()).await;
     let call = Call {
         front,
         head,
@@ -228,7 +231,7 @@
         draw,
     };
     match &head.turn {
-        Some(turn) if route.repeat.streams() => call.turn(turn, body).await,
+        Some(turn) if route.repeat.is_stream() => call.turn(turn, body).await,
         _ => call.run(body, None, None).await,
     }
 }
@@ -238,9 +241,9 @@
     front: &FrontHost<D>,
     body: Incoming,
     limit: usize,
-    allowance: &Allowance,
+    allowance: &RequestDeadline,
 ) -> Result<Bytes, Refusal> {
-    let left = allowance.left(front.now());
+    let left = allowance.remaining(front.now());
     match timeout(left, Limited::new(body, limit).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(err)) if err.is::<http_body_util::LengthLimitError>() => Err(Refusal::BodyTooLarge),
@@ -288,20 +291,20 @@
         let attempt = AttemptTag::of(&self.head.id);
         let own = Charge {
             attempt,
-            standing: Standing::Reserved,
-            tokens: Tokens(turn.most),
+            standing: ChargeStatus::Reserved,
+            tokens: Tokens(turn.max_tokens),
         };
         let stores = self.front.stores();
         // From here on the reservation is settled whatever happens.
         let reservation = Reservation::new(stores.clone(), program, attempt);
-        let left = self.allowance.left(self.front.now());
+        let left = self.allowance.remaining(self.front.now());
         match stores.reserve(program, own, Tokens(budget), left).await {
             Reserved::Covered => Ok(Some(reservation)),
             Reserved::Spent { others } => {
                 log::info!(
                     "event=budget_spent id={} others={others} most={} budget={budget}",
                     self.head.id,
-                    turn.most
+                    turn.max_tokens
                 );
                 Err(Refusal::BudgetSpent)
             }
@@ -318,7 +321,7 @@
         if let Some(before) = self.front.chain(id) {
             return Ok(before);
         }
-        let left = self.allowance.left(self.front.now());
+        let left = self.allowance.remaining(self.front.now());
         match self.front.stores().turns(id, left).await {
             Turns::Found(turns) => {
                 let mut before = BytesMut::new();
@@ -351,7 +354,7 @@
         let mut tried = Vec::new();
         let (mut attempts, mut not_run) = (0, 0);
         loop {
-            let left = self.allowance.left(self.front.now());
+            let left = self.allowance.remaining(self.front.now());
             if left.is_zero() {
                 return Err(Refusal::TooLate);
             }
@@ -371,7 +374,7 @@
                         keeping,
                         reservation,
                         event_tokens: self.event_tokens,
-                        ends: self.allowance.ends(),
+                        ends: self.allowance.at(),
                         wait_ms: sent_after.as_millis(),
                         first_ms: first.as_millis(),
                     };
@@ -391,8 +394,8 @@
                     attempts += 1;
                     log::info!("event=attempt_lost id={} cause={why}", self.head.id);
                     meters::attempt_lost(why);
-                    let idempotent = self.route.repeat == Repeat::Idempotent;
-                    let time_over = self.allowance.left(self.front.now()).is_zero();
+                    let idempotent = self.route.repeat == RepeatPolicy::Idempotent;
+                    let time_over = self.allowance.remaining(self.front.now()).is_zero();
                     if time_over {
                         return Err(Refusal::TimedOut);
                     }
@@ -407,7 +410,7 @@
     /// Time for the next attempt: an idempotent request leaves some for others.
     fn attempt_limit(&self, left: Duration, attempts: u32) -> Duration {
         let more = self.route.max_attempts.saturating_sub(attempts).max(1);
-        if self.route.repeat == Repeat::Idempotent && more > 1 {
+        if self.route.repeat == RepeatPolicy::Idempotent && more > 1 {
             (left / more).max(LEAST_ATTEMPT).min(left)
         } else {
             left
@@ -507,7 +510,7 @@
     fn request(&self, chosen: &Chosen, body: &Bytes) -> Request<Full<Bytes>> {
         let forwarding = Forwarding {
             upstream: &chosen.name,
-            left: self.allowance.left(self.front.now()),
+            time_left: self.allowance.remaining(self.front.now()),
         };
         let headers = self
             .front
@@ -531,7 +534,7 @@
         let answer = self.front.dialect().answer(&head);
         let now = self.front.now();
         let not_run = answer.execution != Execution::Possible;
-        if answer.execution == Execution::OtherMeant {
+        if answer.execution == Execution::Misdirected {
             self.front.upstreams().unreachable(now, sent.chosen.id);
         }
         if let Some(load) = answer.load {
@@ -544,7 +547,7 @@
         if head.status.is_server_error() && !not_run {
             sent.failed();
         }
-        if self.route.repeat.streams() && head.status == StatusCode::OK && !not_run {
+        if self.route.repeat.is_stream() && head.status == StatusCode::OK && !not_run {
             return Tried::Answer(Box::new(sent), Box::new(head), incoming);
         }
         let body = timeout(limit, Limited::new(incoming, MAX_ANSWER_BYTES).collect()).await;
@@ -583,7 +586,7 @@
     fn response(&self, head: &response::Parts, body: Body) -> Response<Body> {
         let mut response = Response::new(body);
         *response.status_mut() = head.status;
-        *response.headers_mut() = self.front.dialect().answer_headers(&head.headers);
+        *response.headers_mut() = self.front.dialect().response_headers(&head.headers);
         response
     }
 }
--- a/crates/sapphirequayd/src/gateway/front/host.rs
+++ b/crates/sapphirequayd/src/gateway/front/host.rs
@@ -151,7 +151,7 @@
         let mut response = Response::new(full(Bytes::new()));
         let asks = self
             .dialect()
-            .asks_readiness(req.method(), req.uri().path());
+            .is_readiness_probe(req.method(), req.uri().path());
         *response.status_mut() = match (asks, self.ready()) {
             (false, _) => StatusCode::NOT_FOUND,
             (true, true) => StatusCode::OK,
--- a/crates/sapphirequayd/src/gateway/front/reservation.rs
+++ b/crates/sapphirequayd/src/gateway/front/reservation.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::gateway::store::StoreClient,
-    quay_turns::{Charge, Record, Standing},
+    quay_turns::{Charge, ChargeStatus, Record},
     quay_types::{AttemptTag, ProgramTag, Tokens},
     std::{cell::Cell, time::Duration},
     tokio::task::spawn_local,
@@ -42,7 +42,7 @@
     fn drop(&mut self) {
         let charge = Charge {
             attempt: self.attempt,
-            standing: Standing::Settled,
+            standing: ChargeStatus::Settled,
             tokens: Tokens(self.used.get()),
         };
         let (stores, program) = (self.stores.clone(), self.program);
--- a/crates/sapphirequayd/src/gateway/front/stream.rs
+++ b/crates/sapphirequayd/src/gateway/front/stream.rs
@@ -196,7 +196,7 @@
         let record = TurnRecord {
             id: keeping.id,
             prior: keeping.prior,
-            keep_s: u32::try_from(keeping.keep.as_secs()).unwrap_or(u32::MAX),
+            retention_s: u32::try_from(keeping.keep.as_secs()).unwrap_or(u32::MAX),
             input: keeping.input[..].into(),
             output: output.clone().into(),
         };
--- a/crates/sapphirequayd/src/gateway/front/upstreams.rs
+++ b/crates/sapphirequayd/src/gateway/front/upstreams.rs
@@ -2,9 +2,9 @@
 
 use {
     indexmap::IndexMap,
-    quay_members::{ChangesRequest, View},
+    quay_members::{ChangesRequest, DirectoryView},
     quay_policy::{ExpectedTime, RouteRequest, RouteSettings, Router},
-    quay_routes::{CallHead, blocks, lines, tokens},
+    quay_routes::{CallHead, block_hashes, branch_ids, token_count},
     quay_types::{
         Announcement, CallTarget, DirectoryEntry, Load, ProgramId, ServiceId, Time, Tokens,
         UpstreamId, UpstreamKind, UpstreamState,
@@ -44,7 +44,7 @@
 #[derive(Debug)]
 pub struct Upstreams {
     router: Router<ExpectedTime>,
-    view: View,
+    view: DirectoryView,
     known: IndexMap<UpstreamId, Known>,
 }
 
@@ -70,7 +70,7 @@
         };
         Self {
             router: Router::new(cfg, data_centre),
-            view: View::default(),
+            view: DirectoryView::default(),
             known: IndexMap::new(),
         }
     }
@@ -80,14 +80,14 @@
 
     /// The question about changes of the directory.
     pub fn ask(&mut self, reader: u64) -> ChangesRequest {
-        self.view.ask(reader)
+        self.view.next_request(reader)
     }
 
     /// Takes changes of the directory.
     pub fn learn(&mut self, now: Time, changes: quay_members::Changes) {
-        if !self.view.learn(now, changes) {
+        if !self.view.apply(now, changes) {
             // The next question asks for everything.
-            self.view = View::default();
+            self.view = DirectoryView::default();
             return;
         }
         let entries = self.view.entries(now);
@@ -222,16 +222,16 @@
         let suspended = self.known.iter().filter(|(_, it)| it.suspended > now);
         let mut passed_over: Vec<UpstreamId> = suspended.map(|(id, _)| *id).collect();
         passed_over.extend_from_slice(tried);
-        let blocks = blocks(&head.prompt);
+        let blocks = block_hashes(&head.prompt);
         let program = head.program.as_deref().unwrap_or(&head.id);
-        let lines = lines(&head.prompt);
+        let lines = branch_ids(&head.prompt);
         let goes_on = head.turn.as_ref().is_some_and(|turn| turn.prior.is_some());
         let mut req = RouteRequest {
             target: CallTarget::Service(ServiceId::of(service)),
             program: ProgramId::root(UpstreamId::of(program).0),
             under_way: goes_on || lines.len() > 1,
             lines: &lines,
-            prompt: Tokens(tokens(&head.prompt)),
+            prompt: Tokens(token_count(&head.prompt)),
             blocks: &blocks,
             tried: &passed_over,
         };
--- a/crates/sapphirequayd/src/gateway/messages.rs
+++ b/crates/sapphirequayd/src/gateway/messages.rs
@@ -3,7 +3,7 @@
 use {
     quay_members::{Changes, ChangesRequest},
     quay_quorum::Member,
-    quay_turns::{Charge, Hello, Record, StoreChange, StoreView, TurnRecord},
+    quay_turns::{Charge, Record, StoreAnnouncement, StoreChange, StoreView, TurnRecord},
     quay_types::{Announcement, Incarnation, ProgramTag, TurnId},
     serde::{Deserialize, Serialize},
     std::net::SocketAddr,
@@ -40,7 +40,7 @@
     /// A replica that belongs to no group wants to join.
     Join(Member),
     /// A store host says how it stands.
-    Hello(Hello),
+    Hello(StoreAnnouncement),
     /// Empty a store host.
     Retire(Box<str>),
     /// Whether a store host is empty.
--- a/crates/sapphirequayd/src/gateway/run.rs
+++ b/crates/sapphirequayd/src/gateway/run.rs
@@ -20,7 +20,7 @@
     quay_link::{Identity, Incoming, LinkError, LinkRole, LinkSettings, Links},
     quay_quorum::Member,
     quay_routes::Dialect,
-    quay_turns::Hello,
+    quay_turns::StoreAnnouncement,
     quay_types::GroupId,
     rand::Rng as _,
     std::{
@@ -319,7 +319,7 @@
     seeds: &SeedSettings,
     mut base: Base,
 ) -> Result<(), GatewayError> {
-    let hello = Hello {
+    let hello = StoreAnnouncement {
         host: settings.process.name.clone(),
         // Never 0, which stands for none.
         identity: rand::rng().next_u64() | 1,
--- a/crates/sapphirequayd/src/gateway/store/client.rs
+++ b/crates/sapphirequayd/src/gateway/store/client.rs
@@ -240,9 +240,9 @@
         let view = self.view();
         let mut tally = WriteTally::new(&view);
         let mut replies = self.ask_all(&view, op);
-        while tally.verdict() == WriteVerdict::Open {
+        while tally.verdict() == WriteVerdict::Pending {
             match replies.recv().await {
-                Some((identity, Some(StoreReply::Took))) => tally.took(identity),
+                Some((identity, Some(StoreReply::Took))) => tally.synced(identity),
                 Some((identity, _)) => tally.failed(identity),
                 None => return false,
             }
@@ -278,12 +278,12 @@
             match tally.verdict() {
                 ChargeVerdict::Covered => return Reserved::Covered,
                 ChargeVerdict::Spent { others } => return Reserved::Spent { others },
-                ChargeVerdict::Unsure => return Reserved::Unsure,
-                ChargeVerdict::Open => {}
+                ChargeVerdict::Undetermined => return Reserved::Unsure,
+                ChargeVerdict::Pending => {}
             }
             match replies.recv().await {
                 Some((identity, Some(StoreReply::Charges(charges)))) => {
-                    tally.took(identity, charges);
+                    tally.synced(identity, charges);
                 }
                 Some((identity, _)) => tally.failed(identity),
                 None => return Reserved::Unsure,
@@ -327,11 +327,11 @@
             }
             let mut tally = LookupTally::new(&view);
             let mut replies = self.ask_all(&view, &StoreOp::Chain(missing));
-            while !held.contains_key(&missing) && tally.verdict() == LookupVerdict::Open {
+            while !held.contains_key(&missing) && tally.verdict() == LookupVerdict::Pending {
                 match replies.recv().await {
                     Some((identity, Some(StoreReply::Chain(turns, _)))) => {
                         if turns.is_empty() {
-                            tally.denied(identity);
+                            tally.not_found(identity);
                         }
                         hold(&mut held, turns);
                     }
--- a/crates/sapphirequayd/src/gateway/store/copy.rs
+++ b/crates/sapphirequayd/src/gateway/store/copy.rs
@@ -10,7 +10,7 @@
         wire::LinkRequest,
     },
     quay_link::LinkRole,
-    quay_turns::{Record, Source, StoreMember},
+    quay_turns::{CopySource, Record, StoreMember},
     quay_types::TurnId,
     std::time::Duration,
     tokio::{task::spawn_local, time::sleep},
@@ -57,7 +57,7 @@
 async fn from_enough(
     host: &StoreHost,
     own: &StoreMember,
-    step: impl AsyncFn(&StoreHost, &Source) -> bool,
+    step: impl AsyncFn(&StoreHost, &CopySource) -> bool,
 ) -> bool {
     let mut done = Vec::new();
     let mut round = 0;
@@ -69,7 +69,7 @@
             if open && wanted && step(host, source).await {
                 done.push(source.identity);
             }
-            if host.suffices(own, &done) {
+            if host.copy_is_complete(own, &done) {
                 return true;
             }
         }
@@ -82,12 +82,12 @@
 }
 
 /// Has a source refuse earlier epochs.
-async fn adopt(host: &StoreHost, source: &Source) -> bool {
+async fn adopt(host: &StoreHost, source: &CopySource) -> bool {
     ask_source(host, source, StoreOp::Adopt).await == Some(StoreReply::Took)
 }
 
 /// Copies what a source holds and this store does not.
-async fn copy_source(host: &StoreHost, source: &Source) -> bool {
+async fn copy_source(host: &StoreHost, source: &CopySource) -> bool {
     let (mut turns, mut programs, mut copied) = (0, 0, 0);
     loop {
         let Some(StoreReply::List(list)) =
@@ -123,7 +123,7 @@
 }
 
 /// Copies turns, several parts at a time.
-async fn fetch_all(host: &StoreHost, source: &Source, turns: &[TurnId]) -> bool {
+async fn fetch_all(host: &StoreHost, source: &CopySource, turns: &[TurnId]) -> bool {
     for parts in turns.chunks(PART_TURNS * PARTS) {
         let fetches: Vec<_> = parts
             .chunks(PART_TURNS)
@@ -142,7 +142,7 @@
 }
 
 /// Copies a part of the turns.
-async fn fetch(host: &StoreHost, source: &Source, turns: Vec<TurnId>) -> bool {
+async fn fetch(host: &StoreHost, source: &CopySource, turns: Vec<TurnId>) -> bool {
     match ask_source(host, source, StoreOp::Fetch(turns)).await {
         Some(StoreReply::Turns(turns)) => {
             save_all(host, turns.into_iter().map(Record::Turn).collect()).await
@@ -167,7 +167,7 @@
     all
 }
 
-async fn ask_source(host: &StoreHost, source: &Source, op: StoreOp) -> Option<StoreReply> {
+async fn ask_source(host: &StoreHost, source: &CopySource, op: StoreOp) -> Option<StoreReply> {
     let req = StoreRequest {
         to: source.identity,
         epoch: host.epoch(),
--- a/crates/sapphirequayd/src/gateway/store/files.rs
+++ b/crates/sapphirequayd/src/gateway/store/files.rs
@@ -1,7 +1,7 @@
 //! Files of a store: records in frames, each with a checksum.
 
 use {
-    quay_turns::{Place, Record},
+    quay_turns::{Record, RecordLocation},
     std::{
         fs::{self, File, OpenOptions},
         io::{self, Read as _, Seek as _, SeekFrom, Write as _},
@@ -37,7 +37,7 @@
 }
 
 /// Takes each record of a folder, with its place.
-pub type Replay<'a> = &'a mut dyn FnMut(&Record, Place);
+pub type Replay<'a> = &'a mut dyn FnMut(&Record, RecordLocation);
 
 impl Files {
     /// Opens a folder and replays what it holds. The identity is `drawn` if
@@ -83,7 +83,7 @@
     /// # Errors
     ///
     /// If the disk refuses the write: nothing of it is kept then.
-    pub fn append(&mut self, records: &[Record]) -> io::Result<Vec<Place>> {
+    pub fn append(&mut self, records: &[Record]) -> io::Result<Vec<RecordLocation>> {
         if self.end >= self.segment_bytes {
             self.file = create(&self.folder, self.segment + 1)?;
             self.segment += 1;
@@ -100,7 +100,7 @@
             let sum = crc32fast::hash(&buf[body..]);
             buf[start..start + 4].copy_from_slice(&len.to_le_bytes());
             buf[start + 4..body].copy_from_slice(&sum.to_le_bytes());
-            places.push(Place {
+            places.push(RecordLocation {
                 segment: self.segment,
                 offset: self.end + body as u64,
                 len,
@@ -128,11 +128,12 @@
 /// # Errors
 ///
 /// If a file is gone or its bytes do not decode.
-pub fn read_all(folder: &Path, mut places: Vec<Place>) -> io::Result<Vec<Record>> {
+pub fn read_all(folder: &Path, mut places: Vec<RecordLocation>) -> io::Result<Vec<Record>> {
     places.sort_unstable_by_key(|place| (place.segment, place.offset));
     let mut records = Vec::with_capacity(places.len());
-    let near =
-        |a: &Place, b: &Place| a.segment == b.segment && b.offset - end_of(a) <= MAX_GAP_BYTES;
+    let near = |a: &RecordLocation, b: &RecordLocation| {
+        a.segment == b.segment && b.offset - end_of(a) <= MAX_GAP_BYTES
+    };
     for span in places.chunk_by(near) {
         let (Some(first), Some(last)) = (span.first(), span.last()) else {
             continue;
@@ -150,7 +151,7 @@
 }
 
 /// End of the record at a place.
-const fn end_of(place: &Place) -> u64 {
+const fn end_of(place: &RecordLocation) -> u64 {
     place.offset + place.len as u64
 }
 
@@ -233,7 +234,7 @@
             log::warn!("event=store_file_torn segment={segment} offset={offset}");
             return Ok(offset);
         }
-        let place = Place {
+        let place = RecordLocation {
             segment,
             offset: offset + HEAD_BYTES as u64,
             len,
--- a/crates/sapphirequayd/src/gateway/store/host.rs
+++ b/crates/sapphirequayd/src/gateway/store/host.rs
@@ -17,7 +17,8 @@
     },
     quay_link::Links,
     quay_turns::{
-        Hello, Place, Record, Shelf, ShelfSettings, Source, StoreMember, StoreView, TurnRecord,
+        CopySource, Record, RecordLocation, StoreAnnouncement, StoreIndex, StoreIndexSettings,
+        StoreMember, StoreView, TurnRecord,
     },
     quay_types::{Time, TurnId},
     std::{
@@ -60,7 +61,7 @@
 /// A record for the disk, and who waits for its place.
 struct Job {
     record: Record,
-    done: oneshot::Sender<Option<(Place, u64)>>,
+    done: oneshot::Sender<Option<(RecordLocation, u64)>>,
 }
 
 /// A store host; clones share it.
@@ -70,8 +71,8 @@
     pub(super) links: Links,
     client: ControlClient,
     folder: Arc<Path>,
-    hello: Rc<RefCell<Hello>>,
-    shelf: Rc<RefCell<Shelf>>,
+    hello: Rc<RefCell<StoreAnnouncement>>,
+    shelf: Rc<RefCell<StoreIndex>>,
     view: Rc<RefCell<StoreView>>,
     /// File that is written now.
     segment: Rc<Cell<u64>>,
@@ -89,21 +90,21 @@
     pub fn open(
         folder: PathBuf,
         segment_bytes: u64,
-        mut hello: Hello,
+        mut hello: StoreAnnouncement,
         clock: Clock,
         links: Links,
         client: ControlClient,
     ) -> io::Result<Self> {
-        let mut shelf = Shelf::new(ShelfSettings::default());
+        let mut shelf = StoreIndex::new(StoreIndexSettings::default());
         let now = clock.now();
-        let mut replay = |record: &Record, place| shelf.saved(now, record, place);
+        let mut replay = |record: &Record, place| shelf.insert(now, record, place);
         let (files, identity) = Files::open(&folder, segment_bytes, hello.identity, &mut replay)?;
         hello.identity = identity;
         log::info!(
             "event=store_opened identity={identity} turns={} epoch={} whole={}",
-            shelf.turns(),
+            shelf.turn_count(),
             shelf.epoch(),
-            shelf.whole()
+            shelf.whole_epoch()
         );
         let segment = files.segment();
         let (disk, jobs) = std_mpsc::channel();
@@ -149,7 +150,7 @@
         }
         let (admitted, seen, open) = {
             let held = self.shelf.borrow();
-            (held.admit(req.epoch), held.epoch(), held.open())
+            (held.admit(req.epoch), held.epoch(), held.open_epoch())
         };
         if let Err(stale) = admitted {
             return StoreReply::Stale(stale.seen);
@@ -191,7 +192,7 @@
     /// A turn and all before it.
     async fn chain(&self, turn: TurnId) -> StoreReply {
         let chain = self.shelf.borrow().chain(turn);
-        let places = chain.places.into_iter().map(|(_, place)| place);
+        let places = chain.locations.into_iter().map(|(_, place)| place);
         match self.read_turns(places.collect()).await {
             Some(turns) => StoreReply::Chain(turns, chain.missing),
             None => StoreReply::Refused,
@@ -200,9 +201,9 @@
 
     /// The turns of these that are held.
     async fn fetch(&self, turns: &[TurnId]) -> StoreReply {
-        let places: Vec<Place> = {
+        let places: Vec<RecordLocation> = {
             let held = self.shelf.borrow();
-            turns.iter().filter_map(|id| held.place(*id)).collect()
+            turns.iter().filter_map(|id| held.location(*id)).collect()
         };
         match self.read_turns(places).await {
             Some(turns) => StoreReply::Turns(turns),
@@ -211,7 +212,7 @@
     }
 
     /// Reads turns from the disk, on a thread that may wait for it.
-    async fn read_turns(&self, places: Vec<Place>) -> Option<Vec<TurnRecord>> {
+    async fn read_turns(&self, places: Vec<RecordLocation>) -> Option<Vec<TurnRecord>> {
         if places.is_empty() {
             return Some(Vec::new());
         }
@@ -250,16 +251,16 @@
 
     /// Whether a turn is held.
     pub(super) fn holds_turn(&self, turn: TurnId) -> bool {
-        self.shelf.borrow().place(turn).is_some()
+        self.shelf.borrow().location(turn).is_some()
     }
 
     /// Whether a joining store is whole once it has copied from these sources.
-    pub(super) fn suffices(&self, own: &StoreMember, copied: &[u64]) -> bool {
-        self.view.borrow().suffices(own, copied)
+    pub(super) fn copy_is_complete(&self, own: &StoreMember, copied: &[u64]) -> bool {
+        self.view.borrow().copy_is_complete(own, copied)
     }
 
     /// Whether a source of a joining store is whole.
-    pub(super) fn source_is_whole(&self, source: &Source) -> bool {
+    pub(super) fn source_is_whole(&self, source: &CopySource) -> bool {
         self.view.borrow().source_is_whole(source)
     }
 
@@ -281,7 +282,7 @@
         };
         self.segment.set(segment);
         let now = self.now();
-        self.shelf.borrow_mut().saved(now, &record, place);
+        self.shelf.borrow_mut().insert(now, &record, place);
         true
     }
 
@@ -291,8 +292,8 @@
     /// Says how the store stands, again and again.
     async fn keep_saying_hello(self) {
         loop {
-            let hello = Hello {
-                whole: self.shelf.borrow().whole(),
+            let hello = StoreAnnouncement {
+                whole: self.shelf.borrow().whole_epoch(),
                 ..self.hello.borrow().clone()
             };
             let reply = self
@@ -322,7 +323,7 @@
     async fn take_membership(&self, own: &StoreMember) {
         let (open, whole) = {
             let held = self.shelf.borrow();
-            (held.open(), held.whole())
+            (held.open_epoch(), held.whole_epoch())
         };
         if own.whole {
             if open < own.joined {
@@ -338,7 +339,7 @@
 
     /// Epoch in which the store opened last.
     pub(super) fn opened(&self) -> u64 {
-        self.shelf.borrow().open()
+        self.shelf.borrow().open_epoch()
     }
 
     /// Whether the store still is the member that joined in an epoch.
@@ -349,7 +350,7 @@
     }
 
     /// Where the sources of a joining store are now.
-    pub(super) fn sources(&self, own: &StoreMember) -> Vec<Source> {
+    pub(super) fn sources(&self, own: &StoreMember) -> Vec<CopySource> {
         self.view.borrow().sources_of(own).to_vec()
     }
 
@@ -365,7 +366,7 @@
             let now = self.now();
             {
                 let held = self.shelf.borrow();
-                meters::store(held.turns(), held.whole() > 0);
+                meters::store(held.turn_count(), held.whole_epoch() > 0);
             }
             let empty = self.shelf.borrow_mut().expire(now, self.segment.get());
             for segment in empty {
--- a/crates/sapphirequayd/src/process/announcer.rs
+++ b/crates/sapphirequayd/src/process/announcer.rs
@@ -6,7 +6,9 @@
         wire::LinkRequest,
     },
     quay_link::{LinkError, LinkRole, Links},
-    quay_members::{HostContact, MembersReply, MembersRequest, MembersSettings, Pacer, View},
+    quay_members::{
+        DirectoryView, HostContact, MembersReply, MembersRequest, MembersSettings, Pacer,
+    },
     quay_types::{Announcement, ContentDigest, UpstreamState},
     rand::RngExt as _,
     std::{io, net::SocketAddr, thread, time::Duration},
@@ -81,19 +83,19 @@
         let mut contact = HostContact::default();
         let mut pacer = Pacer::new(MembersSettings::default().heartbeat);
         loop {
-            thread::sleep(pacer.wait(rand::rng().random()));
+            thread::sleep(pacer.next_wait(rand::rng().random()));
             let Some((load, state)) = self.gate.ask(GateMsg::Load) else {
                 return;
             };
             self.announcement.sequence += 1;
             self.announcement.load = load;
             self.announcement.state = self.standing.state(state);
-            let reply = ask(&self.links, host, contact.tell(&self.announcement));
+            let reply = ask(&self.links, host, contact.next_request(&self.announcement));
             if let Err(err) = &reply {
                 log::warn!("event=announce_failed ledger={host} cause={err:?}");
             }
-            pacer.ended(reply.is_ok());
-            contact.heard(reply.as_ref().ok());
+            pacer.record_outcome(reply.is_ok());
+            contact.on_reply(reply.as_ref().ok());
         }
     }
 }
@@ -117,7 +119,7 @@
         let id = ContentDigest::of(&[b"reader", self.name.as_bytes()]).to_u64();
         // Entries spread over the hosts, and turn to the next when one fails.
         let mut turn = usize::try_from(id).unwrap_or_default();
-        let mut view = View::default();
+        let mut view = DirectoryView::default();
         let mut steady = Pacer::new(READ_EVERY);
         let mut catch_up = Pacer::new(CATCH_UP_EVERY);
         while !hosts.is_empty() {
@@ -126,18 +128,22 @@
             if !learnt {
                 turn = turn.wrapping_add(1);
             }
-            let pacer = if learnt && view.complete() && !view.more() {
+            let pacer = if learnt && view.complete() && !view.has_more() {
                 &mut steady
             } else {
                 &mut catch_up
             };
-            thread::sleep(pacer.wait(rand::rng().random()));
+            thread::sleep(pacer.next_wait(rand::rng().random()));
         }
     }
 
     /// Reads once; `false` if the host gave no fitting answer.
-    fn read(&self, host: SocketAddr, id: u64, view: &mut View) -> bool {
-        let reply = ask(&self.links, host, MembersRequest::Changes(view.ask(id)));
+    fn read(&self, host: SocketAddr, id: u64, view: &mut DirectoryView) -> bool {
+        let reply = ask(
+            &self.links,
+            host,
+            MembersRequest::Changes(view.next_request(id)),
+        );
         let changes = match reply {
             Ok(MembersReply::Changes(changes)) => changes,
             Ok(_) => return false,
@@ -147,7 +153,7 @@
             }
         };
         let now = self.clock.now();
-        let learnt = view.learn(now, changes);
+        let learnt = view.apply(now, changes);
         if learnt {
             self.router.send(RouterMsg::Directory(view.entries(now)));
         }
--- a/crates/sapphirequayd/src/process/control_message.rs
+++ b/crates/sapphirequayd/src/process/control_message.rs
@@ -4,7 +4,7 @@
     quay_config::{
         Action, AuditRecord, ChangeId, Image, OrderReply, Poll, SectionView, StoreStatus, Update,
     },
-    quay_members::{MemberLine, Suspicion},
+    quay_members::{MemberStatus, Suspicion},
     quay_types::{ConfigIndex, ContentDigest, Incarnation, Load, UpstreamState},
     serde::{Deserialize, Serialize},
     std::net::SocketAddr,
@@ -119,13 +119,13 @@
     pub age_ms: u64,
 }
 
-impl From<MemberLine> for MemberRow {
-    fn from(line: MemberLine) -> Self {
+impl From<MemberStatus> for MemberRow {
+    fn from(line: MemberStatus) -> Self {
         let announcement = line.announcement;
         let suspicion = line.suspicion.map(|why| match why {
             Suspicion::Silent => "missed heartbeats",
             Suspicion::OneWay => "does not hear answers",
-            Suspicion::Complaints => "requests fail",
+            Suspicion::FailureReports => "requests fail",
         });
         Self {
             name: announcement.name,
--- a/crates/sapphirequayd/src/process/directory.rs
+++ b/crates/sapphirequayd/src/process/directory.rs
@@ -3,7 +3,7 @@
 use {
     crate::process::Machine,
     indexmap::IndexSet,
-    quay_members::{Directory, MemberLine, MembersReply, MembersRequest},
+    quay_members::{Directory, MemberStatus, MembersReply, MembersRequest},
     quay_types::{Time, UpstreamId},
     std::{sync::mpsc::SyncSender, time::Duration},
 };
@@ -20,7 +20,7 @@
     /// The upstreams that are marked to leave.
     Drained(IndexSet<UpstreamId>),
     /// Asks for every line.
-    Members(SyncSender<Vec<MemberLine>>),
+    Members(SyncSender<Vec<MemberStatus>>),
 }
 
 impl Machine for Directory {
--- a/crates/sapphirequayd/src/process/subscription.rs
+++ b/crates/sapphirequayd/src/process/subscription.rs
@@ -45,7 +45,7 @@
         let mut waited = String::new();
         loop {
             let event = self.round(&mut subscriber);
-            pacer.ended(event.is_some());
+            pacer.record_outcome(event.is_some());
             if subscriber.waits() != waited {
                 waited = subscriber.waits().into();
                 log::warn!(
@@ -67,7 +67,7 @@
                 ),
                 _ => {}
             }
-            thread::sleep(pacer.wait(rand::rng().random()));
+            thread::sleep(pacer.next_wait(rand::rng().random()));
         }
     }
 
