--- a/crates/quay_experiment/src/capacity/ledger.rs
+++ b/crates/quay_experiment/src/capacity/ledger.rs
@@ -72,7 +72,7 @@
             prompt: vec![b'x'; bytes / 2].into(),
         });
         let mut sent = encoded(&begin);
-        let Reply::Begin(BeginReply::Go { permit, .. }) = self.apply(begin) else {
+        let Reply::Begin(BeginReply::Granted { permit, .. }) = self.apply(begin) else {
             return sent;
         };
         let settle = Op::Settle(Settle {
--- a/crates/quay_experiment/src/faults/calls/requests.rs
+++ b/crates/quay_experiment/src/faults/calls/requests.rs
@@ -15,7 +15,7 @@
     quay_ledger::{Op, Reply},
     quay_types::{
         Attempt, Begin, BeginReply, CallNumber, ConfigIndex, ContentDigest, Epoch, Error,
-        ErrorKind, GroupId, LogIndex, Outcome, Permit, PermitFate, PermitId, Settle, Tokens,
+        ErrorKind, GroupId, LogIndex, Outcome, Permit, PermitId, PermitStatus, Settle, Tokens,
     },
     rand_chacha::ChaCha8Rng,
     std::time::Duration,
@@ -107,7 +107,7 @@
         };
         let lost = request.lost;
         match reply {
-            BeginReply::Go { permit, .. } => self.deliver(id, permit, rng),
+            BeginReply::Granted { permit, .. } => self.deliver(id, permit, rng),
             BeginReply::Wait(_) if self.wrong(Promise::Order) => self.forge(id, rng),
             BeginReply::Wait(ms) => {
                 self.wait(id, Waits::Turn, Duration::from_millis(u64::from(ms) * 4));
@@ -178,7 +178,7 @@
     }
 
     /// Acts on what a sidecar says of a permit.
-    pub(super) fn fate(&mut self, stream: Stream, fate: PermitFate, rng: &mut ChaCha8Rng) {
+    pub(super) fn fate(&mut self, stream: Stream, fate: PermitStatus, rng: &mut ChaCha8Rng) {
         let id = stream.request;
         let Some(request) = self.listens(stream) else {
             return;
@@ -187,9 +187,9 @@
             return;
         };
         match fate {
-            PermitFate::Refused => self.settle_as(id, permit, Outcome::NotRun, rng),
-            PermitFate::Running => self.wait(id, Waits::Turn, Duration::from_millis(200)),
-            PermitFate::Ended | PermitFate::Unknown => {
+            PermitStatus::Refused => self.settle_as(id, permit, Outcome::NotRun, rng),
+            PermitStatus::Running => self.wait(id, Waits::Turn, Duration::from_millis(200)),
+            PermitStatus::Ended | PermitStatus::Unknown => {
                 self.settle_as(id, permit, Outcome::Unknown, rng);
             }
         }
--- a/crates/quay_experiment/src/faults/calls/sidecar.rs
+++ b/crates/quay_experiment/src/faults/calls/sidecar.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::faults::calls::world::Stream,
-    quay_ledger::PermitBook,
-    quay_types::{Incarnation, Permit, PermitFate, Time, UpstreamId},
+    quay_ledger::PermitRegistry,
+    quay_types::{Incarnation, Permit, PermitStatus, Time, UpstreamId},
 };
 
 /// An attempt that a sidecar holds.
@@ -26,7 +26,7 @@
     /// Run of the sidecar.
     pub incarnation: Incarnation,
     /// Permits of this run.
-    pub book: PermitBook,
+    pub book: PermitRegistry,
     /// Attempts that wait for their entries' word, and until when.
     pub ready: Vec<(Time, Held)>,
     /// Attempts that run.
@@ -43,7 +43,7 @@
         Self {
             upstream,
             incarnation,
-            book: PermitBook::new(upstream, incarnation),
+            book: PermitRegistry::new(upstream, incarnation),
             ready: Vec::new(),
             running: Vec::new(),
             frozen_until: Time::ZERO,
@@ -54,20 +54,20 @@
     /// ran is cut off.
     pub fn restart(&mut self) {
         self.incarnation.0 += 1;
-        self.book = PermitBook::new(self.upstream, self.incarnation);
+        self.book = PermitRegistry::new(self.upstream, self.incarnation);
         self.ready.clear();
         self.running.clear();
     }
 
     /// Forgets its permits but keeps its identity: wrong on purpose.
     pub fn forget(&mut self) {
-        self.book = PermitBook::new(self.upstream, self.incarnation);
+        self.book = PermitRegistry::new(self.upstream, self.incarnation);
         self.ready.clear();
         self.running.clear();
     }
 
     /// What became of a permit.
-    pub fn fate(&mut self, permit: &Permit) -> PermitFate {
-        self.book.inquire(permit.id, permit.incarnation).0
+    pub fn fate(&mut self, permit: &Permit) -> PermitStatus {
+        self.book.query(permit.id, permit.incarnation).0
     }
 }
--- a/crates/quay_experiment/src/faults/calls/wire.rs
+++ b/crates/quay_experiment/src/faults/calls/wire.rs
@@ -8,7 +8,7 @@
     },
     quay_ledger::{Command, Op, Reply},
     quay_quorum::StateMachine as _,
-    quay_types::{Epoch, Permit, PermitFate, Time},
+    quay_types::{Epoch, Permit, PermitStatus, Time},
     rand_chacha::ChaCha8Rng,
     std::time::Duration,
 };
@@ -101,7 +101,7 @@
             return;
         };
         let fate = if wrong {
-            PermitFate::Refused
+            PermitStatus::Refused
         } else {
             sidecar.fate(permit)
         };
--- a/crates/quay_experiment/src/faults/calls/world.rs
+++ b/crates/quay_experiment/src/faults/calls/world.rs
@@ -13,7 +13,7 @@
     indexmap::IndexMap,
     quay_ledger::{Ledger, LedgerLimits, MemoryHistory, Reply},
     quay_types::{
-        AccountId, Begin, BeginReply, GroupId, LogIndex, Outcome, Permit, PermitFate, ProgramId,
+        AccountId, Begin, BeginReply, GroupId, LogIndex, Outcome, Permit, PermitStatus, ProgramId,
         RequestKey, Settle, Time, Tokens,
     },
     rand::Rng as _,
@@ -80,7 +80,7 @@
     /// To an entry: how its attempt ended.
     Ended(Stream, Outcome),
     /// To an entry: what a sidecar says of a permit.
-    Fate(Stream, PermitFate),
+    Fate(Stream, PermitStatus),
 }
 
 /// Callers, entries, a ledger and sidecars.
@@ -133,7 +133,7 @@
             self.now = self.now + Duration::from_millis(50);
             self.turn(rng, score);
         }
-        self.ledger.check_all();
+        self.ledger.assert_invariants();
         self.test_histories(score);
     }
 }
--- a/crates/quay_ledger/examples/program_memory.rs
+++ b/crates/quay_ledger/examples/program_memory.rs
@@ -5,7 +5,7 @@
 //! `cargo run --release -p quay_ledger --example program_memory -- 160000 62`
 
 use {
-    quay_ledger::{CallChunk, Command, History, Ledger, LedgerLimits, Op, Reply},
+    quay_ledger::{Command, History, Ledger, LedgerLimits, Op, Reply, StoredCall},
     quay_quorum::StateMachine as _,
     quay_types::{
         AccountId, Begin, BeginReply, CallNumber, ConfigIndex, ContentDigest, Epoch, GroupId,
@@ -25,17 +25,17 @@
 impl History for NoHistory {
     type Snapshot = ();
 
-    fn begin(&mut self, _: ProgramId, _: CallChunk) {}
+    fn append(&mut self, _: ProgramId, _: StoredCall) {}
 
-    fn end(&mut self, _: ProgramId, _: Outcome) {}
+    fn record_outcome(&mut self, _: ProgramId, _: Outcome) {}
 
-    fn withdraw(&mut self, _: ProgramId) {}
+    fn remove_last(&mut self, _: ProgramId) {}
 
-    fn read(&self, _: ProgramId, _: CallNumber) -> Option<CallChunk> {
+    fn read(&self, _: ProgramId, _: CallNumber) -> Option<StoredCall> {
         None
     }
 
-    fn forget(&mut self, _: ProgramId) {}
+    fn remove_program(&mut self, _: ProgramId) {}
 
     fn snapshot(&self) {}
 
@@ -92,7 +92,8 @@
                 config: ConfigIndex(0),
                 prompt: Box::default(),
             };
-            let Reply::Begin(BeginReply::Go { permit, .. }) = self.apply(Op::Begin(begin)) else {
+            let Reply::Begin(BeginReply::Granted { permit, .. }) = self.apply(Op::Begin(begin))
+            else {
                 return;
             };
             let outcome = Outcome::Completed {
--- a/crates/quay_ledger/src/budget.rs
+++ b/crates/quay_ledger/src/budget.rs
@@ -61,7 +61,7 @@
             return false;
         }
         self.reserved += tokens.0;
-        self.check();
+        self.assert_invariant();
         true
     }
 
@@ -76,7 +76,7 @@
         );
         self.reserved -= reservation.0;
         self.used += used.0.min(self.free());
-        self.check();
+        self.assert_invariant();
     }
 
     /// Lowers the limit to what is used and set aside; the tokens set free.
@@ -84,12 +84,12 @@
     pub fn shrink(&mut self) -> Tokens {
         let free = self.free();
         self.limit -= free;
-        self.check();
+        self.assert_invariant();
         Tokens(free)
     }
 
     /// Asserts the invariant.
-    fn check(&self) {
+    fn assert_invariant(&self) {
         let held = self.used.checked_add(self.reserved);
         assert!(
             held.is_some_and(|held| held <= self.limit),
--- a/crates/quay_ledger/src/calls.rs
+++ b/crates/quay_ledger/src/calls.rs
@@ -2,7 +2,8 @@
 
 use {
     crate::{
-        CallChunk, History, Ledger, OpenCall, Reply, ledger::Position, program::fingerprint, refuse,
+        History, Ledger, OpenCall, Reply, StoredCall, ledger::Position, program::fingerprint,
+        refuse,
     },
     quay_types::{
         Attempt, Begin, BeginReply, CallNumber, Error, ErrorKind, Incarnation, NewProgram, Outcome,
@@ -67,7 +68,7 @@
             return Err(conflict("the program has one call, and this is another"));
         }
         if let Some(open) = program.open.as_ref().filter(|open| open.key == begin.key) {
-            same_call(begin, program.last(), open.digest == begin.digest)?;
+            same_call(begin, program.last_call(), open.digest == begin.digest)?;
             return Ok(Found::Open);
         }
         for number in program.candidates(begin.key) {
@@ -89,7 +90,7 @@
         let program = &self.state.programs[&begin.program];
         let given_up = program.open.as_ref().is_some_and(|open| open.given_up);
         let withdrawn = given_up && !program.open_may_have_run();
-        let made = program.last().0 - u32::from(withdrawn);
+        let made = program.last_call().0 - u32::from(withdrawn);
         let next = CallNumber(made + 1);
         if begin.number.is_some_and(|number| number < next) {
             return Err(conflict("the call number was used before with another key"));
@@ -104,7 +105,7 @@
             ));
         }
         let predecessor_open = program.open.is_some() && !given_up;
-        let barred = self.state.now_ms < program.barrier_ms;
+        let barred = self.state.now_ms < program.next_start_ms;
         if predecessor_open || barred || begin.number.is_some_and(|number| number > next) {
             return Ok(BeginReply::Wait(self.state.limits.wait_ms));
         }
@@ -121,17 +122,17 @@
             idempotent: begin.idempotent,
             attempts: 0,
             issued_ms: 0,
-            live: None,
+            active_permit: None,
             given_up: false,
         }));
         let reply = self.issue(at, &begin);
-        let chunk = CallChunk {
+        let chunk = StoredCall {
             key: begin.key,
             digest: begin.digest,
             prompt: begin.prompt,
             outcome: None,
         };
-        self.history.begin(begin.program, chunk);
+        self.history.append(begin.program, chunk);
         Ok(reply)
     }
 
@@ -150,13 +151,13 @@
     /// Joins the running attempt of the open call, or issues the next permit.
     fn next_attempt(&mut self, at: Position, begin: &Begin) -> Result<BeginReply> {
         let program = &self.state.programs[&begin.program];
-        if let Some(live) = program.open.as_ref().and_then(|open| open.live) {
-            return Ok(BeginReply::Running(live));
+        if let Some(active) = program.open.as_ref().and_then(|open| open.active_permit) {
+            return Ok(BeginReply::Running(active));
         }
         if program.ended_ms.is_some() {
             return Err(refuse(ErrorKind::ProgramEnded, "the program has ended"));
         }
-        if !program.has_room_for_lost() {
+        if !program.can_lose_attempt() {
             return Err(refuse(
                 ErrorKind::ProgramLimit,
                 "too many attempts were lost",
@@ -200,7 +201,7 @@
     /// Issues a permit for the open call, whose tokens are set aside.
     fn issue(&mut self, at: Position, begin: &Begin) -> BeginReply {
         let program = &mut self.state.programs[&begin.program];
-        let (number, attained) = (program.last(), program.budget.used());
+        let (number, attained) = (program.last_call(), program.budget.used());
         let Some(open) = program.open.as_mut() else {
             unreachable!("permits are issued for open calls only");
         };
@@ -219,10 +220,10 @@
         let idempotent = open.idempotent;
         open.attempts += 1;
         open.issued_ms = self.state.now_ms;
-        open.live = Some(permit);
+        open.active_permit = Some(permit);
         open.given_up = false;
-        self.check(begin.program);
-        BeginReply::Go {
+        self.assert_program_invariants(begin.program);
+        BeginReply::Granted {
             permit,
             number,
             attained,
@@ -239,32 +240,32 @@
         let Some(program) = self.state.programs.get(&id) else {
             return unrecorded(&settle.outcome);
         };
-        let live = program.open.as_ref().and_then(|open| open.live);
-        let reply = if live.is_some_and(|live| live.id == settle.permit.id) {
-            self.settle_live(id, settle.outcome);
+        let active = program.open.as_ref().and_then(|open| open.active_permit);
+        let reply = if active.is_some_and(|active| active.id == settle.permit.id) {
+            self.settle_active(id, settle.outcome);
             Reply::Done
         } else {
             self.settle_late(settle)
         };
         self.return_grant(id);
-        self.check(id);
+        self.assert_program_invariants(id);
         reply
     }
 
     /// Closes the attempt in use.
-    fn settle_live(&mut self, id: ProgramId, outcome: Outcome) {
+    fn settle_active(&mut self, id: ProgramId, outcome: Outcome) {
         let program = &mut self.state.programs[&id];
         let Some(open) = program.open.as_mut() else {
             return;
         };
         let (idempotent, issued_ms) = (open.idempotent, open.issued_ms);
-        match (charged(&outcome), open.live) {
+        match (charged(&outcome), open.active_permit) {
             (Some(used), Some(permit)) => {
-                open.live = None;
+                open.active_permit = None;
                 program.budget.charge(permit.reserved, used);
             }
             // The upstream may still run it, so its tokens stay set aside.
-            _ => program.lose_live(),
+            _ => program.mark_active_lost(),
         }
         let closes = match outcome {
             Outcome::NotRun => false,
@@ -274,7 +275,7 @@
         if closes && outcome == Outcome::Unknown {
             // Its sidecar may not have seen it yet, and may still start it.
             let program = &mut self.state.programs[&id];
-            program.barrier_ms = issued_ms + u64::from(self.state.limits.start_limit_ms);
+            program.next_start_ms = issued_ms + u64::from(self.state.limits.start_limit_ms);
         }
         if closes {
             self.close(id, outcome);
@@ -289,7 +290,7 @@
         let Some(open) = program.open.as_mut() else {
             return;
         };
-        if open.key != key || open.live.is_some() {
+        if open.key != key || open.active_permit.is_some() {
             return;
         }
         open.given_up = true;
@@ -309,15 +310,15 @@
         }
         program.open = None;
         program.calls.pop();
-        self.history.withdraw(id);
+        self.history.remove_last(id);
     }
 
     /// Closes the open call. An attempt that still runs is of no more use, and
     /// its tokens stay set aside until it is heard of.
     fn close(&mut self, id: ProgramId, outcome: Outcome) {
-        self.history.end(id, outcome);
+        self.history.record_outcome(id, outcome);
         let program = &mut self.state.programs[&id];
-        program.lose_live();
+        program.mark_active_lost();
         program.open = None;
         if program.implicit {
             self.end(id);
@@ -346,7 +347,7 @@
     }
 
     /// The chunk of a key's call.
-    fn recorded(&self, id: ProgramId, key: RequestKey) -> Option<CallChunk> {
+    fn recorded(&self, id: ProgramId, key: RequestKey) -> Option<StoredCall> {
         let mut numbers = self.state.programs[&id].candidates(key);
         numbers.find_map(|number| {
             let chunk = self.history.read(id, number)?;
--- a/crates/quay_ledger/src/history.rs
+++ b/crates/quay_ledger/src/history.rs
@@ -8,7 +8,7 @@
 
 /// What is written once when a call begins and once when it ends.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CallChunk {
+pub struct StoredCall {
     /// Identity of the call.
     pub key: RequestKey,
     /// Digest of its content.
@@ -28,19 +28,19 @@
     type Snapshot: Serialize + DeserializeOwned + Send + 'static;
 
     /// Appends the chunk of the program's next call.
-    fn begin(&mut self, program: ProgramId, chunk: CallChunk);
+    fn append(&mut self, program: ProgramId, chunk: StoredCall);
 
     /// Records the outcome of a program's last call.
-    fn end(&mut self, program: ProgramId, outcome: Outcome);
+    fn record_outcome(&mut self, program: ProgramId, outcome: Outcome);
 
     /// Removes the chunk of a program's last call, which never ran.
-    fn withdraw(&mut self, program: ProgramId);
+    fn remove_last(&mut self, program: ProgramId);
 
     /// Reads the chunk of a call.
-    fn read(&self, program: ProgramId, number: CallNumber) -> Option<CallChunk>;
+    fn read(&self, program: ProgramId, number: CallNumber) -> Option<StoredCall>;
 
     /// Forgets a program.
-    fn forget(&mut self, program: ProgramId);
+    fn remove_program(&mut self, program: ProgramId);
 
     /// Copies every chunk.
     fn snapshot(&self) -> Self::Snapshot;
@@ -66,16 +66,16 @@
 
 /// Chunks in memory.
 #[derive(Debug, Default)]
-pub struct MemoryHistory(IndexMap<ProgramId, Vec<CallChunk>>);
+pub struct MemoryHistory(IndexMap<ProgramId, Vec<StoredCall>>);
 
 impl History for MemoryHistory {
-    type Snapshot = IndexMap<ProgramId, Vec<CallChunk>>;
+    type Snapshot = IndexMap<ProgramId, Vec<StoredCall>>;
 
-    fn begin(&mut self, program: ProgramId, chunk: CallChunk) {
+    fn append(&mut self, program: ProgramId, chunk: StoredCall) {
         self.0.entry(program).or_default().push(chunk);
     }
 
-    fn end(&mut self, program: ProgramId, outcome: Outcome) {
+    fn record_outcome(&mut self, program: ProgramId, outcome: Outcome) {
         let chunks = self.0.get_mut(&program);
         let last = chunks.and_then(|chunks| chunks.last_mut());
         assert!(
@@ -87,7 +87,7 @@
         }
     }
 
-    fn withdraw(&mut self, program: ProgramId) {
+    fn remove_last(&mut self, program: ProgramId) {
         let last = self.0.get_mut(&program).and_then(Vec::pop);
         assert!(
             last.is_some_and(|chunk| chunk.outcome.is_none()),
@@ -95,12 +95,12 @@
         );
     }
 
-    fn read(&self, program: ProgramId, number: CallNumber) -> Option<CallChunk> {
+    fn read(&self, program: ProgramId, number: CallNumber) -> Option<StoredCall> {
         let slot = usize::try_from(number.0).ok()?.checked_sub(1)?;
         self.0.get(&program)?.get(slot).cloned()
     }
 
-    fn forget(&mut self, program: ProgramId) {
+    fn remove_program(&mut self, program: ProgramId) {
         self.0.swap_remove(&program);
     }
 
--- a/crates/quay_ledger/src/ledger.rs
+++ b/crates/quay_ledger/src/ledger.rs
@@ -79,14 +79,14 @@
 
     /// Programs that are kept, ended ones too.
     #[must_use]
-    pub fn programs(&self) -> usize {
+    pub fn program_count(&self) -> usize {
         self.state.programs.len()
     }
 
     /// Asserts the invariants of every program.
-    pub fn check_all(&self) {
+    pub fn assert_invariants(&self) {
         for id in self.state.programs.keys() {
-            self.check(*id);
+            self.assert_program_invariants(*id);
         }
         let roots = self.state.programs.keys().filter(|id| id.is_root()).count();
         let counted: u32 = self.state.accounts.values().sum();
@@ -94,13 +94,13 @@
     }
 
     /// Asserts the invariants of a program and of its parent.
-    pub(crate) fn check(&self, id: ProgramId) {
+    pub(crate) fn assert_program_invariants(&self, id: ProgramId) {
         let mut next = Some(id);
         while let Some(id) = next {
             let Some(program) = self.state.programs.get(&id) else {
                 return;
             };
-            program.check(self.granted(id));
+            program.assert_invariants(self.granted(id));
             next = program.parent.map(|branch| id.sub_agent(branch));
         }
     }
@@ -225,7 +225,7 @@
         self.state.programs[&root_id].sub_agents += 1;
         self.state.expiries.insert((child.expires_ms, id));
         self.state.programs.insert(id, child);
-        self.check(id);
+        self.assert_program_invariants(id);
         Ok(id)
     }
 
@@ -245,7 +245,7 @@
         for id in below.into_iter().rev() {
             self.end_one(id);
         }
-        self.check(id);
+        self.assert_program_invariants(id);
     }
 
     /// Whether `id` is `ancestor` or below it.
@@ -333,7 +333,7 @@
     pub(crate) fn forget(&mut self, root: ProgramId) {
         let tree: Vec<_> = self.tree(root).collect();
         for id in tree {
-            self.history.forget(id);
+            self.history.remove_program(id);
             let Some(program) = self.state.programs.swap_remove(&id) else {
                 continue;
             };
@@ -365,7 +365,7 @@
             used: program.budget.used(),
             reserved: program.budget.reserved(),
             ended: program.ended_ms.is_some(),
-            calls: self.history.calls(id, program.last().0),
+            calls: self.history.calls(id, program.last_call().0),
         }))
     }
 
@@ -378,7 +378,7 @@
 
 /// Accepts a resend and refuses other content under the same identity.
 fn same(known: &Program, new: &NewProgram) -> Result<()> {
-    if known.is_same(new) {
+    if known.matches_request(new) {
         Ok(())
     } else {
         Err(refuse(
--- a/crates/quay_ledger/src/lib.rs
+++ b/crates/quay_ledger/src/lib.rs
@@ -30,16 +30,16 @@
 mod command;
 mod history;
 mod ledger;
-mod permit_book;
+mod permit_registry;
 mod program;
 mod settings;
 
 pub use {
     budget::Budget,
     command::{Answer, Command, Op, Query, Reply},
-    history::{CallChunk, History, MemoryHistory},
+    history::{History, MemoryHistory, StoredCall},
     ledger::{Ledger, LedgerSnapshot},
-    permit_book::PermitBook,
+    permit_registry::PermitRegistry,
     program::{LostAttempt, OpenCall, Program},
     settings::LedgerLimits,
 };
--- a/crates/quay_ledger/src/permit_book.rs
+++ b/crates/quay_ledger/src/permit_registry.rs
@@ -2,8 +2,8 @@
 
 use {
     quay_types::{
-        CallEvent, Error, ErrorKind, GroupId, Incarnation, LogIndex, Permit, PermitFate, PermitId,
-        UpstreamId,
+        CallEvent, Error, ErrorKind, GroupId, Incarnation, LogIndex, Permit, PermitId,
+        PermitStatus, UpstreamId,
     },
     std::collections::{BTreeMap, VecDeque},
 };
@@ -54,7 +54,7 @@
 ///
 /// The book dies with its process: a later run has another incarnation and
 /// refuses every permit of this one.
-pub struct PermitBook {
+pub struct PermitRegistry {
     upstream: UpstreamId,
     incarnation: Incarnation,
     groups: BTreeMap<GroupId, GroupPermits>,
@@ -64,7 +64,7 @@
     kept_bytes: usize,
 }
 
-impl PermitBook {
+impl PermitRegistry {
     /// The empty book of a new run.
     #[must_use]
     pub const fn new(upstream: UpstreamId, incarnation: Incarnation) -> Self {
@@ -131,24 +131,24 @@
 
     /// Tells what became of a permit; one that was never shown is marked as
     /// refused first. The answer of an ended attempt comes with it, if kept.
-    pub fn inquire(
+    pub fn query(
         &mut self,
         id: PermitId,
         incarnation: Incarnation,
-    ) -> (PermitFate, Option<CallEvent>) {
+    ) -> (PermitStatus, Option<CallEvent>) {
         if incarnation != self.incarnation {
-            return (PermitFate::Unknown, None);
+            return (PermitStatus::Unknown, None);
         }
         let group = self.groups.entry(id.group).or_default();
         match group.states.get(&id.index) {
-            Some(State::Running) => (PermitFate::Running, None),
-            Some(State::Refused) => (PermitFate::Refused, None),
-            Some(State::Ended(answer)) => (PermitFate::Ended, answer.as_deref().cloned()),
-            None if id.index < group.floor => (PermitFate::Unknown, None),
+            Some(State::Running) => (PermitStatus::Running, None),
+            Some(State::Refused) => (PermitStatus::Refused, None),
+            Some(State::Ended(answer)) => (PermitStatus::Ended, answer.as_deref().cloned()),
+            None if id.index < group.floor => (PermitStatus::Unknown, None),
             None => {
                 group.states.insert(id.index, State::Refused);
                 group.forget_oldest();
-                (PermitFate::Refused, None)
+                (PermitStatus::Refused, None)
             }
         }
     }
--- a/crates/quay_ledger/src/program.rs
+++ b/crates/quay_ledger/src/program.rs
@@ -26,7 +26,7 @@
     /// Time of the last permit, in milliseconds.
     pub issued_ms: u64,
     /// The permit in use; `None` if the last one was refused or lost.
-    pub live: Option<Permit>,
+    pub active_permit: Option<Permit>,
     /// Whether its caller was told that it ended without a whole answer. It
     /// may be sent again, and no later call waits for it.
     pub given_up: bool,
@@ -79,7 +79,7 @@
     pub lost: Vec<LostAttempt>,
     /// No later call starts before, in milliseconds: until then a call whose
     /// outcome is unknown may still start.
-    pub barrier_ms: u64,
+    pub next_start_ms: u64,
 }
 
 /// First eight bytes of a key.
@@ -109,19 +109,19 @@
             calls: Vec::new(),
             open: None,
             lost: Vec::new(),
-            barrier_ms: 0,
+            next_start_ms: 0,
         }
     }
 
     /// Whether `new` asks for what this program already is.
     #[must_use]
-    pub fn is_same(&self, new: &NewProgram) -> bool {
+    pub fn matches_request(&self, new: &NewProgram) -> bool {
         self.key == new.key && self.limits == new.limits
     }
 
     /// Number of the last call; 0 if there is none.
     #[must_use]
-    pub fn last(&self) -> CallNumber {
+    pub fn last_call(&self) -> CallNumber {
         CallNumber(u32::try_from(self.calls.len()).unwrap_or(u32::MAX))
     }
 
@@ -135,9 +135,13 @@
     }
 
     /// Moves the permit in use, if any, to those that may still run.
-    pub fn lose_live(&mut self) {
-        let number = self.last();
-        let Some(permit) = self.open.as_mut().and_then(|open| open.live.take()) else {
+    pub fn mark_active_lost(&mut self) {
+        let number = self.last_call();
+        let Some(permit) = self
+            .open
+            .as_mut()
+            .and_then(|open| open.active_permit.take())
+        else {
             return;
         };
         self.lost.push(LostAttempt {
@@ -150,34 +154,41 @@
     /// Whether an attempt of the open call may have run.
     #[must_use]
     pub fn open_may_have_run(&self) -> bool {
-        let live = self.open.as_ref().is_some_and(|open| open.live.is_some());
-        live || self.lost.iter().any(|lost| lost.number == self.last())
+        let active = self
+            .open
+            .as_ref()
+            .is_some_and(|open| open.active_permit.is_some());
+        active || self.lost.iter().any(|lost| lost.number == self.last_call())
     }
 
     /// Whether another attempt may be lost without going over the bound.
     #[must_use]
-    pub fn has_room_for_lost(&self) -> bool {
+    pub fn can_lose_attempt(&self) -> bool {
         self.lost.len() < MAX_LOST
     }
 
     /// Asserts what holds for one program by itself; `granted` is what its
     /// sub-agents hold of its budget.
-    pub fn check(&self, granted: u64) {
-        let live = self.open.iter().filter_map(|call| call.live).count();
-        assert!(live <= 1, "one permit in use a program");
+    pub fn assert_invariants(&self, granted: u64) {
+        let active = self
+            .open
+            .iter()
+            .filter_map(|call| call.active_permit)
+            .count();
+        assert!(active <= 1, "one permit in use a program");
         if let Some(call) = &self.open {
             assert_eq!(
                 self.calls.last().copied(),
                 Some(fingerprint(call.key)),
                 "the open call is the last one"
             );
-            let lost = self.lost.iter().any(|lost| lost.number == self.last());
+            let lost = self.lost.iter().any(|lost| lost.number == self.last_call());
             assert!(
                 call.idempotent || !lost,
                 "a call that may not run twice has one permit that isn't refused"
             );
         }
-        let open = self.open.iter().filter_map(|call| call.live);
+        let open = self.open.iter().filter_map(|call| call.active_permit);
         let attempts: u64 = open.map(|permit| permit.reserved.0).sum();
         let lost: u64 = self.lost.iter().map(|lost| lost.reserved.0).sum();
         assert_eq!(
--- a/crates/quay_ledger/tests/calls.rs
+++ b/crates/quay_ledger/tests/calls.rs
@@ -293,7 +293,7 @@
         ..lone.clone()
     };
     assert_eq!(bench.refusal(greedy), ErrorKind::BudgetExceeded);
-    assert_eq!(bench.ledger.programs(), 0);
+    assert_eq!(bench.ledger.program_count(), 0);
     let permit = bench.go(lone.clone());
     bench.settle(permit, completed(1));
     assert!(bench.show(ROOT).ended);
@@ -307,8 +307,8 @@
     let permit = bench.go(refused);
     bench.settle_in(ProgramId::root(8), permit, Outcome::NotRun);
     bench.apply(Op::GiveUp(ProgramId::root(8), key(1)));
-    assert_eq!(bench.ledger.programs(), 1);
-    bench.ledger.check_all();
+    assert_eq!(bench.ledger.program_count(), 1);
+    bench.ledger.assert_invariants();
 }
 
 #[test]
@@ -328,6 +328,6 @@
     assert!(is(bench.apply(root(3)), ErrorKind::AccountLimit));
     bench.now_ms += 900_000;
     assert_eq!(bench.apply(root(3)), Reply::Created(ProgramId::root(3)));
-    assert_eq!(bench.ledger.programs(), 2);
-    bench.ledger.check_all();
+    assert_eq!(bench.ledger.program_count(), 2);
+    bench.ledger.assert_invariants();
 }
--- a/crates/quay_ledger/tests/common/mod.rs
+++ b/crates/quay_ledger/tests/common/mod.rs
@@ -56,7 +56,7 @@
 
     pub fn go(&mut self, begin: Begin) -> Permit {
         match self.begin(begin) {
-            BeginReply::Go { permit, .. } => permit,
+            BeginReply::Granted { permit, .. } => permit,
             other => panic!("{other:?}"),
         }
     }
--- a/crates/quay_ledger/tests/random_run.rs
+++ b/crates/quay_ledger/tests/random_run.rs
@@ -144,12 +144,12 @@
     }
 
     fn hear_begin(&mut self, begin: &Begin, reply: &BeginReply) {
-        if matches!(reply, BeginReply::Go { .. }) {
+        if matches!(reply, BeginReply::Granted { .. }) {
             self.pass_over(begin.program, begin.key);
         }
         let told = self.told.entry((begin.program, begin.key)).or_default();
         match reply {
-            BeginReply::Go { permit, .. } => {
+            BeginReply::Granted { permit, .. } => {
                 assert_eq!(told.outcome, None, "an ended call runs again");
                 assert!(
                     begin.idempotent || told.permits.len() == told.refused.len(),
@@ -220,7 +220,7 @@
         let reply = bench.apply(op.clone());
         callers.hear(&op, &reply);
         if step % 1_000 == 0 {
-            bench.ledger.check_all();
+            bench.ledger.assert_invariants();
             let bytes = postcard::to_stdvec(&bench.ledger.snapshot()).expect("encode");
             let copy: LedgerSnapshot<_> = postcard::from_bytes(&bytes).expect("decode");
             bench.ledger.restore(copy);
@@ -311,21 +311,21 @@
             index += 1;
             let reply = one.apply(LogIndex(index), Epoch(1), command.clone());
             prop_assert_eq!(&two.apply(LogIndex(index), Epoch(1), command.clone()), &reply);
-            if let (Op::Begin(begin), Reply::Begin(BeginReply::Go { permit, .. })) = (&op, &reply) {
+            if let (Op::Begin(begin), Reply::Begin(BeginReply::Granted { permit, .. })) = (&op, &reply) {
                 permits.push((begin.program, *permit));
             }
             let before = one.snapshot();
             index += 1;
             let resent = one.apply(LogIndex(index), Epoch(1), command);
             match (&reply, resent) {
-                (Reply::Begin(BeginReply::Go { permit, .. }), Reply::Begin(BeginReply::Running(same))) => {
+                (Reply::Begin(BeginReply::Granted { permit, .. }), Reply::Begin(BeginReply::Running(same))) => {
                     prop_assert_eq!(*permit, same);
                 }
                 (first, resent) => prop_assert_eq!(first, &resent),
             }
             prop_assert!(one.snapshot() == before, "a resend changed the state");
             two.restore(one.snapshot());
-            one.check_all();
+            one.assert_invariants();
         }
     }
 }
--- a/crates/quay_types/src/call.rs
+++ b/crates/quay_types/src/call.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        AccountId, Error, Incarnation, ModelId, Permit, PermitFate, PermitId, ProgramId, ServiceId,
-        Tokens,
+        AccountId, Error, Incarnation, ModelId, Permit, PermitId, PermitStatus, ProgramId,
+        ServiceId, Tokens,
     },
     serde::{Deserialize, Serialize},
 };
@@ -47,7 +47,7 @@
     /// Chained hashes of the prompt's blocks.
     pub blocks: Box<[u64]>,
     /// Bytes of the answer that the caller has already; the stream goes on there.
-    pub resume_at: u64,
+    pub resume_offset: u64,
 }
 
 /// First message on a stream from an entry to a sidecar.
@@ -56,8 +56,8 @@
     /// Run an attempt; answered by a stream of [`CallEvent`]s.
     Call(CallRequest),
     /// Ask about a permit. One that was never used is marked as refused.
-    /// Answered by [`CallEvent::Fate`].
-    Inquire(PermitId, Incarnation),
+    /// Answered by [`CallEvent::PermitStatus`].
+    QueryPermit(PermitId, Incarnation),
     /// A program has ended; release what the upstream holds for it.
     ProgramEnded(ProgramId),
 }
@@ -119,6 +119,6 @@
     Failed(Error),
     /// Nothing to say; the attempt is alive.
     Heartbeat,
-    /// Answer to [`SidecarRequest::Inquire`].
-    Fate(PermitFate),
+    /// Answer to [`SidecarRequest::QueryPermit`].
+    PermitStatus(PermitStatus),
 }
--- a/crates/quay_types/src/error.rs
+++ b/crates/quay_types/src/error.rs
@@ -127,7 +127,7 @@
     pub retry_after: Option<Duration>,
     /// Whether an earlier send of the same request may have run; nobody then
     /// promises that it did not, whatever the kind says of this send.
-    pub sent_before: bool,
+    pub may_have_run: bool,
 }
 
 impl Error {
@@ -138,7 +138,7 @@
             kind,
             message: message.into(),
             retry_after: None,
-            sent_before: false,
+            may_have_run: false,
         }
     }
 
@@ -153,9 +153,9 @@
 
     /// Notes that an earlier send of the same request may have run.
     #[must_use]
-    pub fn sent_before(self) -> Self {
+    pub fn with_may_have_run(self) -> Self {
         Self {
-            sent_before: true,
+            may_have_run: true,
             ..self
         }
     }
@@ -163,7 +163,7 @@
     /// Whether the request truly never ran, by no send of it.
     #[must_use]
     pub const fn not_run(&self) -> bool {
-        self.kind.not_run() && !self.sent_before
+        self.kind.not_run() && !self.may_have_run
     }
 
     /// Seconds for the `Retry-After` header, rounded up.
--- a/crates/quay_types/src/ledger.rs
+++ b/crates/quay_types/src/ledger.rs
@@ -82,7 +82,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BeginReply {
     /// Run the call under this permit.
-    Go {
+    Granted {
         /// The permit.
         permit: Permit,
         /// Position that the call was given.
--- a/crates/quay_types/src/lib.rs
+++ b/crates/quay_types/src/lib.rs
@@ -35,6 +35,6 @@
         Begin, BeginReply, CallRecord, LedgerReply, LedgerRequest, NewProgram, ProgramLimits,
         ProgramStatus, Settle,
     },
-    permit::{Outcome, Permit, PermitFate, PermitId},
+    permit::{Outcome, Permit, PermitId, PermitStatus},
     time::Time,
 };
--- a/crates/quay_types/src/permit.rs
+++ b/crates/quay_types/src/permit.rs
@@ -39,7 +39,7 @@
 
 /// What a sidecar knows of a permit that somebody asks about.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum PermitFate {
+pub enum PermitStatus {
     /// The permit is marked as refused, and was never used.
     Refused,
     /// The attempt is queued or running.
--- a/crates/sapphirequayd/src/connection/body.rs
+++ b/crates/sapphirequayd/src/connection/body.rs
@@ -97,7 +97,7 @@
     let mut headers = req.headers().iter();
     let key_named = headers.any(|header| header.field.equiv("Idempotency-Key"));
     if key_named && err.kind.retry_after_s().is_some() {
-        return err.clone().sent_before();
+        return err.clone().with_may_have_run();
     }
     err.clone()
 }
--- a/crates/sapphirequayd/src/connection/programs.rs
+++ b/crates/sapphirequayd/src/connection/programs.rs
@@ -188,7 +188,7 @@
             // A sub-agent's parent waits for it, however deep it is.
             depth: u8::from(!program.is_root()),
             blocks: content.blocks,
-            resume_at: 0,
+            resume_offset: 0,
         },
         number: headers.number,
         key,
--- a/crates/sapphirequayd/src/process/daemon.rs
+++ b/crates/sapphirequayd/src/process/daemon.rs
@@ -18,7 +18,7 @@
         wire::LinkRequest,
     },
     quay_config::ConfigError,
-    quay_ledger::PermitBook,
+    quay_ledger::PermitRegistry,
     quay_ledger::{Ledger, LedgerLimits},
     quay_link::{Identity, Incoming, KeyFiles, LinkError, LinkRole, LinkSettings, Links},
     quay_members::MembersRequest,
@@ -284,7 +284,7 @@
     let gate = settings.policy.admit.settings(sidecar.concurrency);
     let gate = spawn("gate", clock, Gate::new(gate)).map_err(starting("gate"))?;
     let incarnation = Incarnation(Clock::wall_ms());
-    let book = PermitBook::new(UpstreamId::of(&sidecar.upstream), incarnation);
+    let book = PermitRegistry::new(UpstreamId::of(&sidecar.upstream), incarnation);
     let permits: Mailbox<PermitMsg> = spawn("permits", clock, book).map_err(starting("permits"))?;
     let announcement = Announcement {
         name: sidecar.upstream.clone(),
@@ -398,7 +398,7 @@
                 let _ = incoming.stream.send(&control.serve(req, &incoming));
             }
         }
-        LinkRequest::Sidecar(SidecarRequest::Inquire(id, incarnation)) => {
+        LinkRequest::Sidecar(SidecarRequest::QueryPermit(id, incarnation)) => {
             if let Some(attempts) = &roles.sidecar {
                 answer_inquiry(attempts, &incoming.stream, id, incarnation);
             }
--- a/crates/sapphirequayd/src/process/permits.rs
+++ b/crates/sapphirequayd/src/process/permits.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::process::Machine,
-    quay_ledger::PermitBook,
-    quay_types::{CallEvent, Incarnation, Permit, PermitFate, PermitId, Time},
+    quay_ledger::PermitRegistry,
+    quay_types::{CallEvent, Incarnation, Permit, PermitId, PermitStatus, Time},
     std::{sync::mpsc::SyncSender, time::Duration},
 };
 
@@ -22,11 +22,11 @@
         /// Run of the sidecar that it was for.
         incarnation: Incarnation,
         /// Takes the answer.
-        reply: SyncSender<(PermitFate, Option<CallEvent>)>,
+        reply: SyncSender<(PermitStatus, Option<CallEvent>)>,
     },
 }
 
-impl Machine for PermitBook {
+impl Machine for PermitRegistry {
     type Msg = PermitMsg;
 
     const TICK: Duration = Duration::from_secs(1);
@@ -40,7 +40,7 @@
                 id,
                 incarnation,
                 reply,
-            } => drop(reply.send(self.inquire(id, incarnation))),
+            } => drop(reply.send(self.query(id, incarnation))),
         }
     }
 
--- a/crates/sapphirequayd/src/request/attempt.rs
+++ b/crates/sapphirequayd/src/request/attempt.rs
@@ -126,7 +126,7 @@
         reply,
     });
     let Some((fate, answer)) = known else { return };
-    let _ = stream.send(&CallEvent::Fate(fate));
+    let _ = stream.send(&CallEvent::PermitStatus(fate));
     if let Some(answer) = answer {
         let _ = stream.send(&answer);
     }
--- a/crates/sapphirequayd/src/request/call.rs
+++ b/crates/sapphirequayd/src/request/call.rs
@@ -9,7 +9,7 @@
     quay_link::Links,
     quay_types::{
         BeginReply, Error, ErrorKind, FinishReason, LedgerReply, LedgerRequest, Outcome, Permit,
-        PermitFate, PermitId, Result, Settle, Tokens, UpstreamId,
+        PermitId, PermitStatus, Result, Settle, Tokens, UpstreamId,
     },
     rand::RngExt as _,
     std::{
@@ -231,7 +231,7 @@
         let reply = self.begin(pick.as_ref());
         let went = match (reply, &pick) {
             (
-                Ok(BeginReply::Go {
+                Ok(BeginReply::Granted {
                     permit,
                     attained,
                     idempotent,
@@ -280,7 +280,7 @@
                 let refusal = refusal.filter(|_| err.kind == ErrorKind::NoUpstream);
                 Err(self.give_up(refusal.unwrap_or(err)))
             }
-            BeginReply::Go { permit, .. } => {
+            BeginReply::Granted { permit, .. } => {
                 // Leave was given for no upstream: nothing can run under it.
                 self.settle(permit, Outcome::NotRun)?;
                 Ok(false)
@@ -391,12 +391,12 @@
         );
         if let Some(known) = self.ask_sidecar(permit) {
             match known {
-                (PermitFate::Refused, _) => {
+                (PermitStatus::Refused, _) => {
                     let text = format!("the call never reached its upstream: {}", err.message);
                     let err = Error::new(ErrorKind::PermitRefused, text);
                     return self.conclude(permit, AttemptEnd::NotRun(err));
                 }
-                (PermitFate::Ended, Some(end)) => return self.conclude(permit, end),
+                (PermitStatus::Ended, Some(end)) => return self.conclude(permit, end),
                 _ => {}
             }
         }
@@ -414,10 +414,10 @@
     }
 
     /// Asks the sidecar named in a permit what became of it.
-    fn ask_sidecar(&self, permit: Permit) -> Option<(PermitFate, Option<AttemptEnd>)> {
+    fn ask_sidecar(&self, permit: Permit) -> Option<(PermitStatus, Option<AttemptEnd>)> {
         let pick = self.cx.find(permit.upstream)?;
         if pick.incarnation != permit.incarnation {
-            return Some((PermitFate::Unknown, None));
+            return Some((PermitStatus::Unknown, None));
         }
         inquire(&self.cx.links, pick.addr, permit)
     }
@@ -432,12 +432,12 @@
         }
         let known = self.ask_sidecar(permit);
         match known {
-            Some((PermitFate::Refused, _)) => {
+            Some((PermitStatus::Refused, _)) => {
                 self.joined = false;
                 self.settle(permit, Outcome::NotRun)?;
                 return Ok(false);
             }
-            Some((PermitFate::Running, _)) => self.ended_since = None,
+            Some((PermitStatus::Running, _)) => self.ended_since = None,
             // Its entry may still be about to settle it.
             known => {
                 let since = *self.ended_since.get_or_insert_with(Instant::now);
@@ -472,9 +472,9 @@
     fn settle_for_another(
         &mut self,
         permit: Permit,
-        known: Option<(PermitFate, Option<AttemptEnd>)>,
+        known: Option<(PermitStatus, Option<AttemptEnd>)>,
     ) -> Result<bool> {
-        if let Some((PermitFate::Ended, Some(end))) = known {
+        if let Some((PermitStatus::Ended, Some(end))) = known {
             return self.conclude(permit, end);
         }
         self.lost += 1;
--- a/crates/sapphirequayd/src/request/inquire.rs
+++ b/crates/sapphirequayd/src/request/inquire.rs
@@ -6,7 +6,7 @@
         wire::LinkRequest,
     },
     quay_link::{LinkRole, Links},
-    quay_types::{CallEvent, Permit, PermitFate, SidecarRequest},
+    quay_types::{CallEvent, Permit, PermitStatus, SidecarRequest},
     std::net::SocketAddr,
 };
 
@@ -18,14 +18,14 @@
     links: &Links,
     addr: SocketAddr,
     permit: Permit,
-) -> Option<(PermitFate, Option<AttemptEnd>)> {
-    let req = SidecarRequest::Inquire(permit.id, permit.incarnation);
+) -> Option<(PermitStatus, Option<AttemptEnd>)> {
+    let req = SidecarRequest::QueryPermit(permit.id, permit.incarnation);
     let opened = links.open(addr, LinkRole::Sidecar, &LinkRequest::Sidecar(req));
     let mut stream = opened.ok()?;
-    let CallEvent::Fate(fate) = stream.recv().ok()? else {
+    let CallEvent::PermitStatus(fate) = stream.recv().ok()? else {
         return None;
     };
-    if fate != PermitFate::Ended {
+    if fate != PermitStatus::Ended {
         return Some((fate, None));
     }
     let kept = stream.recv::<CallEvent>().ok();
--- a/crates/sapphirequayd/src/request/offer.rs
+++ b/crates/sapphirequayd/src/request/offer.rs
@@ -122,7 +122,7 @@
                 delivery.heartbeat();
                 None
             }
-            CallEvent::Started | CallEvent::Fate(_) => None,
+            CallEvent::Started | CallEvent::PermitStatus(_) => None,
             last => Some(end_of(last, delivery.text())),
         }
     }
--- a/crates/sapphirequayd/tests/control.rs
+++ b/crates/sapphirequayd/tests/control.rs
@@ -79,7 +79,7 @@
         until_ms: 0,
         cause: "x".into(),
     };
-    let inquire = SidecarRequest::Inquire(PermitId::default(), Incarnation(1));
+    let inquire = SidecarRequest::QueryPermit(PermitId::default(), Incarnation(1));
     let show = LedgerRequest::Show(program, AccountId::of("a"));
     let cases = [
         (
--- a/crates/sapphirequayd/tests/permits.rs
+++ b/crates/sapphirequayd/tests/permits.rs
@@ -2,9 +2,9 @@
 
 use {
     proptest::prelude::*,
-    quay_ledger::PermitBook,
+    quay_ledger::PermitRegistry,
     quay_types::{
-        Attempt, CallEvent, Epoch, GroupId, Incarnation, LogIndex, Permit, PermitFate, PermitId,
+        Attempt, CallEvent, Epoch, GroupId, Incarnation, LogIndex, Permit, PermitId, PermitStatus,
         RequestKey, Tokens, UpstreamId,
     },
     sapphirequayd::{Splice, Spliced},
@@ -37,7 +37,7 @@
 
 #[test]
 fn a_permit_is_used_once_and_by_its_run_only() {
-    let mut book = PermitBook::new(UPSTREAM, RUN);
+    let mut book = PermitRegistry::new(UPSTREAM, RUN);
     let foreign = [
         None,
         Some(Permit {
@@ -59,24 +59,24 @@
         book.admit(Some(&permit(1))),
         Err(CallEvent::Failed(_))
     ));
-    assert_eq!(book.inquire(permit(1).id, RUN), (PermitFate::Running, None));
+    assert_eq!(book.query(permit(1).id, RUN), (PermitStatus::Running, None));
     book.end(permit(1).id, Some(body(3)));
     assert!(matches!(
         book.admit(Some(&permit(1))),
         Err(CallEvent::Failed(_))
     ));
     assert_eq!(
-        book.inquire(permit(1).id, RUN),
-        (PermitFate::Ended, Some(body(3)))
+        book.query(permit(1).id, RUN),
+        (PermitStatus::Ended, Some(body(3)))
     );
-    let other_run = book.inquire(permit(1).id, Incarnation(6));
-    assert_eq!(other_run, (PermitFate::Unknown, None));
+    let other_run = book.query(permit(1).id, Incarnation(6));
+    assert_eq!(other_run, (PermitStatus::Unknown, None));
 }
 
 #[test]
 fn asking_first_refuses_a_late_delivery() {
-    let mut book = PermitBook::new(UPSTREAM, RUN);
-    assert_eq!(book.inquire(permit(9).id, RUN), (PermitFate::Refused, None));
+    let mut book = PermitRegistry::new(UPSTREAM, RUN);
+    assert_eq!(book.query(permit(9).id, RUN), (PermitStatus::Refused, None));
     assert!(matches!(
         book.admit(Some(&permit(9))),
         Err(CallEvent::Refused(_))
@@ -86,24 +86,24 @@
 #[test]
 fn kept_answers_are_bounded() {
     const MIB: usize = 1 << 20;
-    let mut book = PermitBook::new(UPSTREAM, RUN);
+    let mut book = PermitRegistry::new(UPSTREAM, RUN);
     for index in 1..=6 {
         book.admit(Some(&permit(index))).expect("permit");
         book.end(permit(index).id, Some(body(MIB)));
     }
-    let kept = |book: &mut PermitBook| {
+    let kept = |book: &mut PermitRegistry| {
         (1..=6)
-            .filter(|index| book.inquire(permit(*index).id, RUN).1.is_some())
+            .filter(|index| book.query(permit(*index).id, RUN).1.is_some())
             .count()
     };
     assert_eq!(kept(&mut book), 3);
     assert!(
-        book.inquire(permit(6).id, RUN).1.is_some(),
+        book.query(permit(6).id, RUN).1.is_some(),
         "the latest is kept"
     );
     book.admit(Some(&permit(7))).expect("permit");
     book.end(permit(7).id, Some(body(9 * MIB)));
-    assert_eq!(book.inquire(permit(7).id, RUN), (PermitFate::Ended, None));
+    assert_eq!(book.query(permit(7).id, RUN), (PermitStatus::Ended, None));
 }
 
 /// Does to the caller's text what a splice says.
@@ -123,7 +123,7 @@
     #[test]
     fn no_permit_runs_twice(steps in prop::collection::vec((0..6_000u64, 0..4u8), 1..400), fill in any::<bool>()) {
         const BOUND: usize = 4_096;
-        let mut book = PermitBook::new(UPSTREAM, RUN);
+        let mut book = PermitRegistry::new(UPSTREAM, RUN);
         let mut ran = std::collections::BTreeSet::new();
         let mut open = std::collections::BTreeSet::new();
         let mut refused = std::collections::BTreeSet::new();
@@ -148,14 +148,14 @@
                     }
                     Err(_) => {}
                 },
-                2 => match book.inquire(id, RUN).0 {
-                    PermitFate::Refused => {
+                2 => match book.query(id, RUN).0 {
+                    PermitStatus::Refused => {
                         prop_assert!(!ran.contains(&index), "told refused, but ran");
                         refused.insert(index);
                     }
-                    PermitFate::Running => prop_assert!(open.contains(&index)),
-                    PermitFate::Ended => prop_assert!(ran.contains(&index) && !open.contains(&index)),
-                    PermitFate::Unknown => {}
+                    PermitStatus::Running => prop_assert!(open.contains(&index)),
+                    PermitStatus::Ended => prop_assert!(ran.contains(&index) && !open.contains(&index)),
+                    PermitStatus::Unknown => {}
                 },
                 _ if open.remove(&index) => book.end(id, None),
                 _ => {}
--- a/crates/sapphirequayd/tests/wire.rs
+++ b/crates/sapphirequayd/tests/wire.rs
@@ -17,7 +17,7 @@
     #[test]
     fn requests_round_trip_and_cut_ones_are_errors(index: u64, run: u64, cut in 1_usize..4) {
         let id = PermitId { index: LogIndex(index), ..PermitId::default() };
-        let req = LinkRequest::Sidecar(SidecarRequest::Inquire(id, Incarnation(run)));
+        let req = LinkRequest::Sidecar(SidecarRequest::QueryPermit(id, Incarnation(run)));
         let bytes = to_stdvec(&req).expect("bytes");
         prop_assert_eq!(from_bytes::<LinkRequest>(&bytes).ok(), Some(req));
         prop_assert!(from_bytes::<LinkRequest>(&bytes[..bytes.len() - cut]).is_err());
