--- a/crates/quay_quorum/examples/long_run.rs
+++ b/crates/quay_quorum/examples/long_run.rs
@@ -1,4 +1,6 @@
-//! A long seeded run of replicas under faults: `long_run SEED STEPS REPLICAS`.
+//! Long seeded simulation of a group of replicas with fault injection.
+//!
+//! Usage: `long_run SEED STEPS REPLICAS`.
 
 use {
     quay_quorum::check::{Simulation, SimulationSettings},
@@ -18,8 +20,8 @@
             println!("seed={seed} replicas={replicas} {report:?}");
             ExitCode::SUCCESS
         }
-        Err(broken) => {
-            println!("seed={seed} replicas={replicas} broken: {broken}");
+        Err(violation) => {
+            println!("seed={seed} replicas={replicas} broken: {violation}");
             ExitCode::FAILURE
         }
     }
--- a/crates/quay_quorum/src/action.rs
+++ b/crates/quay_quorum/src/action.rs
@@ -1,117 +1,125 @@
-//! What a replica is told and what it asks for.
+//! Inputs of a replica and the actions it requests.
 
 use {
     crate::{Entry, HardState, MembershipChange, Message, SnapshotMeta},
     quay_types::{Epoch, LogIndex, NodeId},
 };
 
-/// Number of a save; saves are carried out in the order of their tickets.
+/// Identifier of a write to disk. Writes are carried out in ascending order.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PersistId(pub u64);
 
-/// What a replica is told.
+/// An event that a replica reacts to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Input {
-    /// Time has passed.
+    /// Checks whether a timer has expired.
     Tick,
-    /// A message has arrived.
+    /// A message from another replica has arrived.
     Message {
         /// Sender.
         from: NodeId,
         /// The message.
         message: Message,
     },
-    /// A command is to be carried out; answered by [`Action::Proposed`] or
+    /// Proposes a command; answered by [`Action::Proposed`] or
     /// [`Action::Refused`].
     Propose {
-        /// Repeated in the answer.
+        /// Correlation tag, repeated in the answer.
         tag: u64,
         /// The encoded command.
         command: Box<[u8]>,
     },
-    /// A read is to be confirmed; answered by [`Action::ReadReady`] or
+    /// Requests a linearizable read; answered by [`Action::ReadReady`] or
     /// [`Action::Refused`].
     Read {
-        /// Repeated in the answer.
+        /// Correlation tag, repeated in the answer.
         tag: u64,
     },
-    /// The members are to change; answered as a proposal.
+    /// Proposes a change of the membership; answered like
+    /// [`Input::Propose`].
     ChangeMembership {
-        /// Repeated in the answer.
+        /// Correlation tag, repeated in the answer.
         tag: u64,
-        /// The change.
+        /// The membership change.
         change: MembershipChange,
     },
-    /// This save and all before it are synced.
+    /// The write with this identifier and all earlier writes are synced to
+    /// disk.
     Persisted(PersistId),
-    /// A snapshot of this replica's own state is synced.
+    /// A snapshot of this replica's own state up to this index is synced to
+    /// disk, so that earlier entries may be compacted.
     SnapshotSaved(LogIndex),
 }
 
-/// A save. Entries replace those that are saved from their first index on.
+/// A write to disk. The entries replace all persisted entries from the index of
+/// the first new one on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Persist {
-    /// Number of the save.
+    /// Identifier of the write.
     pub id: PersistId,
-    /// Term and vote, if they changed.
+    /// Term and vote; `None` if unchanged.
     pub hard_state: Option<HardState>,
-    /// New entries, in order.
+    /// New entries, in index order.
     pub entries: Vec<Entry>,
 }
 
-/// Why a request was refused; nothing of it was proposed.
+/// Why a request was refused. A refused request has not been proposed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refusal {
-    /// Another replica leads, if known.
+    /// This replica is not the leader; names the leader if it is known.
     NotLeader(Option<NodeId>),
-    /// No quorum has answered of late.
+    /// No quorum has answered within `Settings::quorum_timeout`.
     NoQuorum,
-    /// The leader is new and does not know yet what is committed.
+    /// The leader has not committed an entry of its term yet and so does not
+    /// know the commit index.
     NotReady,
-    /// Another change of members is open.
+    /// Another membership change is not committed yet.
     ChangeInProgress,
-    /// The change does not fit the members.
+    /// The change is not valid for the current membership.
     InvalidChange,
-    /// The learner lacks too many entries.
+    /// The learner lacks more than `Settings::max_promotion_lag` entries or has
+    /// not answered within an election timeout.
     LearnerBehind,
 }
 
-/// What a replica asks for.
+/// An operation that a replica requests from its caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Save and sync, then tell [`Input::Persisted`].
+    /// Write and sync to disk, then pass [`Input::Persisted`].
     Persist(Persist),
-    /// Send a message; it may get lost.
+    /// Send a message; delivery is not required.
     Send {
         /// Receiver.
         to: NodeId,
         /// The message.
         message: Message,
     },
-    /// Send the latest saved snapshot as [`Message::Snapshot`] of this term.
+    /// Send the latest persisted snapshot as [`Message::Snapshot`] of this
+    /// term.
     SendSnapshot {
         /// Receiver.
         to: NodeId,
         /// Term of the leader.
         term: Epoch,
     },
-    /// Replace the state by a snapshot; save it, then tell [`Input::Persisted`].
+    /// Replace the state by a snapshot and persist the snapshot, then pass
+    /// [`Input::Persisted`].
     Restore {
-        /// Number of the save.
+        /// Identifier of the write.
         persist_id: PersistId,
-        /// What the snapshot stands for.
+        /// Position and membership that the snapshot covers.
         meta: SnapshotMeta,
         /// The encoded state.
         data: Box<[u8]>,
-        /// Whether saved entries after the snapshot stay.
+        /// Whether to keep persisted entries after the snapshot's position.
         keep: bool,
     },
-    /// Carry out committed entries, in order.
+    /// Apply committed entries to the state machine, in order.
     Apply(Vec<Entry>),
-    /// A proposal has its place; it is committed once that place is applied
-    /// with the same term.
+    /// A proposal was appended to the log. It is committed once the entry at
+    /// `index` is applied with the same term.
     Proposed {
-        /// Tag of the proposal.
+        /// Correlation tag of the proposal.
         tag: u64,
         /// Index of its entry.
         index: LogIndex,
@@ -120,21 +128,22 @@
     },
     /// A request was refused.
     Refused {
-        /// Tag of the request.
+        /// Correlation tag of the request.
         tag: u64,
-        /// Why.
+        /// Reason of the refusal.
         refusal: Refusal,
     },
-    /// A read may be answered from the state at `index` or later, which has
-    /// been applied.
+    /// A read may be answered from the applied state, which includes all
+    /// entries up to `index`.
     ReadReady {
-        /// Tag of the read.
+        /// Correlation tag of the read.
         tag: u64,
-        /// Index that was committed when the read was asked for.
+        /// Commit index at the time of the request.
         index: LogIndex,
     },
-    /// This replica leads from now on.
+    /// This replica has become the leader of the given term.
     BecameLeader(Epoch),
-    /// This replica no longer leads; open proposals may yet commit.
+    /// This replica is no longer the leader; pending proposals may still
+    /// commit.
     SteppedDown,
 }
--- a/crates/quay_quorum/src/check/explore.rs
+++ b/crates/quay_quorum/src/check/explore.rs
@@ -1,4 +1,4 @@
-//! Every order of events up to a bounded depth.
+//! Exploration of every order of events up to a bounded depth.
 
 use {
     crate::{
@@ -17,62 +17,62 @@
     },
 };
 
-/// What an exploration saw.
+/// Results of an exploration.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Exploration {
-    /// Different states that were reached.
+    /// Number of distinct states reached.
     pub states: u64,
-    /// Moves that were made.
+    /// Number of events executed.
     pub transitions: u64,
-    /// Depth that was explored completely.
+    /// Depth of the last visited state, in events from the start.
     pub depth: u32,
-    /// Greatest number of leaders on one path.
+    /// Greatest number of elections on one path.
     pub elections: u64,
     /// Greatest number of committed entries on one path.
     pub commits: u64,
 }
 
-/// One event.
+/// An event.
 #[derive(Debug, Clone, Copy)]
-enum Move {
-    /// The election timeout of a replica passes.
+enum Event {
+    /// The election timeout of a replica expires.
     Timeout(NodeId),
-    /// A message arrives; others may be older.
+    /// A message arrives, not necessarily the oldest one.
     Deliver(usize),
-    /// A message gets lost.
+    /// A message is lost.
     Lose(usize),
-    /// A host syncs all that is queued.
+    /// A host syncs all queued writes to disk.
     Sync(NodeId),
-    /// A process dies, loses what was not synced and starts again.
+    /// A process crashes, loses all unsynced writes and restarts.
     Crash(NodeId),
-    /// The leader gets a command.
+    /// A command is proposed to a leader.
     Propose(NodeId),
 }
 
 /// Explores every order of events from a group whose first replica has just
-/// won its election, until `depth` or `limit` states.
+/// won its election, up to `depth` events or until `limit` states are known.
 ///
 /// # Errors
 ///
-/// The rule that is broken.
+/// Returns the first safety violation.
 pub fn explore(replica: Settings, depth: u32, limit: usize) -> Result<Exploration, Violation> {
     let start = start(replica)?;
     let mut seen = IndexSet::from([fingerprint(&start)]);
     let mut queue = VecDeque::from([(0, start)]);
     let mut exploration = Exploration::default();
-    while let Some((at, simulation)) = queue.pop_front() {
-        exploration.depth = at;
+    while let Some((depth_reached, simulation)) = queue.pop_front() {
+        exploration.depth = depth_reached;
         exploration.elections = exploration.elections.max(simulation.checker.elections());
         exploration.commits = exploration.commits.max(simulation.checker.commits());
-        if at == depth || seen.len() >= limit {
+        if depth_reached == depth || seen.len() >= limit {
             continue;
         }
-        for next in moves(&simulation) {
+        for event in possible_events(&simulation) {
             let mut simulation = simulation.clone();
-            make(&mut simulation, next)?;
+            execute(&mut simulation, event)?;
             exploration.transitions += 1;
             if seen.insert(fingerprint(&simulation)) {
-                queue.push_back((at + 1, simulation));
+                queue.push_back((depth_reached + 1, simulation));
             }
         }
     }
@@ -80,7 +80,7 @@
     Ok(exploration)
 }
 
-/// A group whose first replica has just won its election.
+/// Creates a group whose first replica has just won its election.
 fn start(replica: Settings) -> Result<Simulation, Violation> {
     let cfg = SimulationSettings {
         loss: 0,
@@ -92,73 +92,73 @@
     };
     let mut simulation = Simulation::new(cfg, 0);
     let nodes = [NodeId(1), NodeId(2), NodeId(3)];
-    make(&mut simulation, Move::Timeout(nodes[0]))?;
+    execute(&mut simulation, Event::Timeout(nodes[0]))?;
     while simulation.leader().is_none() {
         for node in nodes {
             simulation.sync(node, usize::MAX)?;
         }
-        if simulation.wire.is_empty() {
+        if simulation.in_transit.is_empty() {
             break;
         }
-        make(&mut simulation, Move::Deliver(0))?;
+        execute(&mut simulation, Event::Deliver(0))?;
     }
     Ok(simulation)
 }
 
-/// The moves that may be made.
-fn moves(simulation: &Simulation) -> Vec<Move> {
-    let mut moves = Vec::new();
+/// Returns the events that can happen next.
+fn possible_events(simulation: &Simulation) -> Vec<Event> {
+    let mut events = Vec::new();
     for (node, host) in &simulation.hosts {
-        moves.push(Move::Timeout(*node));
-        moves.push(Move::Crash(*node));
+        events.push(Event::Timeout(*node));
+        events.push(Event::Crash(*node));
         if host.is_dirty() {
-            moves.push(Move::Sync(*node));
+            events.push(Event::Sync(*node));
         }
         if host.replica.as_ref().is_some_and(crate::Replica::is_leader) {
-            moves.push(Move::Propose(*node));
+            events.push(Event::Propose(*node));
         }
     }
-    for slot in 0..simulation.wire.len() {
-        moves.push(Move::Deliver(slot));
-        moves.push(Move::Lose(slot));
+    for slot in 0..simulation.in_transit.len() {
+        events.push(Event::Deliver(slot));
+        events.push(Event::Lose(slot));
     }
-    moves
+    events
 }
 
-/// Makes a move.
-fn make(simulation: &mut Simulation, next: Move) -> Result<(), Violation> {
-    match next {
-        Move::Timeout(node) => {
+/// Executes an event.
+fn execute(simulation: &mut Simulation, event: Event) -> Result<(), Violation> {
+    match event {
+        Event::Timeout(node) => {
             if let Some(replica) = &simulation.hosts[&node].replica {
                 simulation.now = simulation.now.max(replica.deadline());
             }
             simulation.input(node, Input::Tick)
         }
-        Move::Deliver(slot) => {
-            let packet = simulation.wire.remove(slot);
+        Event::Deliver(slot) => {
+            let packet = simulation.in_transit.remove(slot);
             simulation.deliver(packet)
         }
-        Move::Lose(slot) => {
-            simulation.wire.remove(slot);
+        Event::Lose(slot) => {
+            simulation.in_transit.remove(slot);
             Ok(())
         }
-        Move::Sync(node) => simulation.sync(node, usize::MAX),
-        Move::Crash(node) => {
+        Event::Sync(node) => simulation.sync(node, usize::MAX),
+        Event::Crash(node) => {
             simulation.hosts[&node].crash(0);
             simulation.restart(node);
             Ok(())
         }
-        Move::Propose(node) => simulation.propose(node),
+        Event::Propose(node) => simulation.propose(node),
     }
 }
 
-/// Digest of a state, but for the time.
+/// Returns a digest of the simulation's state, except times.
 fn fingerprint(simulation: &Simulation) -> u64 {
     let mut state = DefaultHasher::new();
     for host in simulation.hosts.values() {
-        host.shape(&mut state);
+        host.hash_state(&mut state);
     }
-    for packet in &simulation.wire {
+    for packet in &simulation.in_transit {
         (packet.from, packet.to, &packet.message).hash(&mut state);
     }
     state.finish()
--- a/crates/quay_quorum/src/check/faults.rs
+++ b/crates/quay_quorum/src/check/faults.rs
@@ -1,4 +1,5 @@
-//! Crashes, partitions, lost disks and their repair.
+//! Fault injection: crashes, partitions, pauses, and lost disks with the
+//! replacement of their hosts.
 
 use {
     crate::{
@@ -14,38 +15,43 @@
     std::time::Duration,
 };
 
-/// Longest time that links stay cut, in milliseconds.
-const CUT_MS: u64 = 4_000;
+/// Upper limit of the duration of a partition, in milliseconds.
+const MAX_PARTITION_MS: u64 = 4_000;
 
-/// Longest time that a host stands still, in milliseconds.
-const SUSPEND_MS: u64 = 6_000;
+/// Upper limit of the duration of a host's pause, in milliseconds.
+const MAX_PAUSE_MS: u64 = 6_000;
 
-/// Time that a leader is cut off for long, in milliseconds.
-const LONG_CUT_MS: u64 = 30_000;
+/// Upper limit of the duration of a long partition of the leader, in
+/// milliseconds.
+const MAX_LONG_PARTITION_MS: u64 = 30_000;
 
-/// A host that is gone for good and the one that takes its place.
+/// A host that lost its disk and the host that replaces it.
 #[derive(Debug, Clone, Copy)]
-struct Repair {
+struct Replacement {
     lost: NodeId,
     new: NodeId,
 }
 
-/// Faults that are under way.
+/// Faults in progress.
 #[derive(Debug, Clone)]
 pub(crate) struct Faults {
+    /// Time at which all partitions end.
     heal_at: Time,
-    repair: Option<Repair>,
-    /// Whether the host after the next repair is lost at once.
+    replacement: Option<Replacement>,
+    /// Whether another host may lose its disk directly after the next
+    /// replacement.
     second_loss: bool,
+    /// Greatest node identity in use.
     last_node: u64,
 }
 
 impl Faults {
-    /// No faults; identities up to `last_node` are taken.
+    /// Creates a state without faults. Node identities up to `last_node` are in
+    /// use.
     pub(crate) const fn new(last_node: u64) -> Self {
         Self {
             heal_at: Time::ZERO,
-            repair: None,
+            replacement: None,
             second_loss: false,
             last_node,
         }
@@ -53,14 +59,14 @@
 }
 
 impl Simulation {
-    /// Goes on with the faults that are under way and starts new ones.
+    /// Advances the faults in progress and may start a new one.
     pub(super) fn inject_faults(&mut self) -> Result<(), Violation> {
         if self.now >= self.faults.heal_at {
-            self.cuts.clear();
+            self.partitioned_links.clear();
         }
         self.resume_due();
-        self.restart_some();
-        self.drive_repair()?;
+        self.restart_crashed();
+        self.drive_replacement()?;
         if self.chance(10) {
             let node = self.draw_node();
             self.take_snapshot(node)?;
@@ -71,17 +77,17 @@
         Ok(())
     }
 
-    /// Starts one fault.
+    /// Starts a random fault.
     fn start_fault(&mut self) {
         let node = self.draw_node();
         match self.draw(11) {
             0..=3 => self.crash(node),
-            4 => self.cut(node, true, false, CUT_MS),
-            5 => self.cut(node, false, true, CUT_MS),
-            6 => self.cut(node, true, true, CUT_MS),
+            4 => self.partition(node, true, false, MAX_PARTITION_MS),
+            5 => self.partition(node, false, true, MAX_PARTITION_MS),
+            6 => self.partition(node, true, true, MAX_PARTITION_MS),
             7 => {
                 let leader = self.leader().unwrap_or(node);
-                self.cut(leader, true, true, LONG_CUT_MS);
+                self.partition(leader, true, true, MAX_LONG_PARTITION_MS);
             }
             8 => {
                 let victim = self.leader().unwrap_or(node);
@@ -89,7 +95,7 @@
             }
             9 => {
                 let leader = self.leader().unwrap_or(node);
-                self.suspend(leader);
+                self.pause(leader);
             }
             _ => {
                 self.faults.second_loss = self.chance(500);
@@ -98,29 +104,29 @@
         }
     }
 
-    /// A host stands still for a while, its clock too.
-    fn suspend(&mut self, node: NodeId) {
-        let span = Duration::from_millis(SUSPEND_MS / 2 + self.draw(SUSPEND_MS / 2));
+    /// Pauses a host and its clock for a random time.
+    fn pause(&mut self, node: NodeId) {
+        let span = Duration::from_millis(MAX_PAUSE_MS / 2 + self.draw(MAX_PAUSE_MS / 2));
         let until = self.now + span;
         let host = &mut self.hosts[&node];
-        if host.suspended.is_none() {
-            host.suspended = Some(until);
-            host.missed += span;
+        if host.paused_until.is_none() {
+            host.paused_until = Some(until);
+            host.paused_total += span;
             self.report.pauses += 1;
         }
     }
 
-    /// Suspended hosts go on.
+    /// Resumes the hosts whose pause is over.
     fn resume_due(&mut self) {
         let now = self.now;
         for host in self.hosts.values_mut() {
-            if host.suspended.is_some_and(|until| until <= now) {
-                host.suspended = None;
+            if host.paused_until.is_some_and(|until| until <= now) {
+                host.paused_until = None;
             }
         }
     }
 
-    /// A process dies with some of its unsynced bytes.
+    /// Crashes a process. Some of its unsynced writes still reach the disk.
     pub(crate) fn crash(&mut self, node: NodeId) {
         let kept = usize::try_from(self.draw(3)).unwrap_or_default();
         if self.hosts[&node].replica.is_some() {
@@ -129,8 +135,8 @@
         }
     }
 
-    /// Starts dead processes again, after a while.
-    fn restart_some(&mut self) {
+    /// Restarts crashed processes at random.
+    fn restart_crashed(&mut self) {
         for node in self.hosts.keys().copied().collect::<Vec<_>>() {
             let down = self.hosts[&node].replica.is_none() && !self.hosts[&node].lost;
             if down && self.chance(20) {
@@ -139,30 +145,31 @@
         }
     }
 
-    /// Starts a dead process again.
+    /// Restarts a crashed process.
     pub(crate) fn restart(&mut self, node: NodeId) {
         let seed = self.rng.next_u64();
         let (cfg, now) = (self.cfg.replica, self.now);
         self.hosts[&node].restart(node, cfg, seed, now);
     }
 
-    /// Cuts the links to or from a host, for a while.
-    fn cut(&mut self, node: NodeId, to: bool, from: bool, limit_ms: u64) {
+    /// Partitions a host for a random time: drops messages to the host, from
+    /// the host, or both.
+    fn partition(&mut self, node: NodeId, to: bool, from: bool, limit_ms: u64) {
         self.report.partitions += 1;
         let others: Vec<NodeId> = self.hosts.keys().copied().collect();
         for other in others {
             if to {
-                self.cuts.insert((other, node));
+                self.partitioned_links.insert((other, node));
             }
             if from {
-                self.cuts.insert((node, other));
+                self.partitioned_links.insert((node, other));
             }
         }
         let span = limit_ms / 2 + self.draw(limit_ms / 2);
         self.faults.heal_at = self.now + Duration::from_millis(span);
     }
 
-    /// A host syncs a snapshot and forgets the entries that it covers.
+    /// Persists a snapshot at a host and lets the replica compact its log.
     fn take_snapshot(&mut self, node: NodeId) -> Result<(), Violation> {
         match self.hosts[&node].snapshot() {
             Some(index) => self.input(node, Input::SnapshotSaved(index)),
@@ -173,14 +180,15 @@
     // -----------------------------------------------------------------------
     // Lost disks
 
-    /// A host is gone for good. One at a time: the group bears no more.
+    /// Removes a voter's host permanently and starts a new host in its place.
+    /// Only one host at a time, since the group tolerates no more failures.
     fn lose_disk(&mut self, node: NodeId) {
         let members = self.leader().and_then(|leader| {
             let replica = self.hosts[&leader].replica.as_ref()?;
             Some(replica.status().members)
         });
         let voter = members.is_some_and(|members| members.is_voter(node));
-        if self.faults.repair.is_some() || !voter || self.hosts[&node].lost {
+        if self.faults.replacement.is_some() || !voter || self.hosts[&node].lost {
             return;
         }
         self.report.lost_disks += 1;
@@ -192,12 +200,13 @@
         let replica = Replica::empty(new, self.cfg.replica, seed, self.now);
         let rate = clock_rate(&mut self.rng, self.cfg);
         self.hosts.insert(new, Host::new(replica, rate));
-        self.faults.repair = Some(Repair { lost: node, new });
+        self.faults.replacement = Some(Replacement { lost: node, new });
     }
 
-    /// Does what an operator does: learner, vote, removal of the lost host.
-    fn drive_repair(&mut self) -> Result<(), Violation> {
-        let Some(repair) = self.faults.repair else {
+    /// Replaces a lost host as an operator would: adds the new host as a
+    /// learner, promotes it, and removes the lost host.
+    fn drive_replacement(&mut self) -> Result<(), Violation> {
+        let Some(replacement) = self.faults.replacement else {
             return Ok(());
         };
         if !self.chance(100) {
@@ -210,31 +219,32 @@
             return Ok(());
         };
         let status = replica.status();
-        let change = if status.members.get(repair.new).is_none() {
-            MembershipChange::AddLearner(member(repair.new))
-        } else if !status.members.is_voter(repair.new) {
-            MembershipChange::Promote(repair.new)
-        } else if status.members.get(repair.lost).is_some() {
-            MembershipChange::Remove(repair.lost)
+        let change = if status.members.get(replacement.new).is_none() {
+            MembershipChange::AddLearner(member(replacement.new))
+        } else if !status.members.is_voter(replacement.new) {
+            MembershipChange::Promote(replacement.new)
+        } else if status.members.get(replacement.lost).is_some() {
+            MembershipChange::Remove(replacement.lost)
         } else {
-            // Repaired for good once the removal is committed and answered.
+            // The replacement is complete once the removal is committed.
             if status.commit == status.last.index {
-                self.finish_repair(repair);
+                self.finish_replacement(replacement);
             }
             return Ok(());
         };
         self.change(leader, change)
     }
 
-    /// The lost host is replaced; another may be lost right after.
-    fn finish_repair(&mut self, repair: Repair) {
+    /// Completes the replacement of a lost host; may then start the loss of
+    /// another one.
+    fn finish_replacement(&mut self, replacement: Replacement) {
         self.report.replaced_hosts += 1;
-        self.faults.repair = None;
-        self.hosts.shift_remove(&repair.lost);
+        self.faults.replacement = None;
+        self.hosts.shift_remove(&replacement.lost);
         if self.faults.second_loss {
             self.faults.second_loss = false;
             let node = self.draw_node();
-            if node != repair.new {
+            if node != replacement.new {
                 self.lose_disk(node);
             }
         }
--- a/crates/quay_quorum/src/check/host.rs
+++ b/crates/quay_quorum/src/check/host.rs
@@ -1,9 +1,9 @@
-//! One host of the check: a replica, its disk and its state.
+//! A simulated host: a replica, its state machine and its disk.
 
 use {
     crate::{
         Entry, HardState, Persist, PersistId, PersistedState, Position, Replica, Settings,
-        SnapshotMeta, check::safety_checker::Applied,
+        SnapshotMeta, check::safety_checker::AppliedState,
     },
     indexmap::IndexMap,
     quay_types::{Epoch, LogIndex, NodeId, Time},
@@ -14,10 +14,10 @@
     },
 };
 
-/// A save that is not synced.
+/// A write that is not synced yet.
 #[derive(Debug, Clone, Hash)]
-enum Job {
-    Save {
+enum Write {
+    Log {
         persist_id: PersistId,
         hard_state: Option<HardState>,
         entries: Vec<Entry>,
@@ -25,25 +25,25 @@
     Restore {
         persist_id: PersistId,
         meta: SnapshotMeta,
-        state: Applied,
+        state: AppliedState,
         keep: bool,
     },
 }
 
-/// What survives a crash.
+/// Content of the disk that survives a crash.
 #[derive(Debug, Clone, Default, Hash)]
 struct Synced {
     hard_state: HardState,
     meta: SnapshotMeta,
-    state: Applied,
+    state: AppliedState,
     entries: Vec<Entry>,
 }
 
 impl Synced {
-    /// Carries out a save.
-    fn carry_out(&mut self, job: Job) {
-        match job {
-            Job::Save {
+    /// Applies a write.
+    fn apply(&mut self, write: Write) {
+        match write {
+            Write::Log {
                 hard_state,
                 entries,
                 ..
@@ -54,7 +54,7 @@
                 }
                 self.entries.extend(entries);
             }
-            Job::Restore {
+            Write::Restore {
                 meta, state, keep, ..
             } => {
                 let index = meta.position.index;
@@ -65,38 +65,41 @@
         }
     }
 
-    /// Whether an entry or a snapshot that covers it is here.
+    /// Whether the disk contains an entry or a snapshot that covers it.
     fn holds(&self, position: Position) -> bool {
         self.meta.position.index >= position.index
             || self.entries.iter().any(|entry| entry.position == position)
     }
 }
 
-/// One host: a replica, its disk and what it has open.
+/// A simulated host: a replica, its disk and its pending requests.
 #[derive(Debug, Clone)]
 pub struct Host {
-    /// The replica; `None` while the process is down.
+    /// The replica; `None` while the process is not running.
     pub replica: Option<Replica>,
     /// State that the replica has applied.
-    pub(crate) state: Applied,
-    /// Whether the disk is gone for good.
+    pub(crate) state: AppliedState,
+    /// Whether the host is lost permanently.
     pub lost: bool,
-    /// Speed of the host's clock, in thousandths of the true one.
+    /// Rate of the host's clock, in thousandths of the true rate.
     pub(crate) clock_rate: u64,
-    /// Until when the host stands still, its clock too.
-    pub(crate) suspended: Option<Time>,
-    /// Time that the host's clock has missed.
-    pub(crate) missed: Duration,
-    /// Proposals that are not answered.
+    /// Time at which the current pause of the host and its clock ends; `None`
+    /// if the host is running.
+    pub(crate) paused_until: Option<Time>,
+    /// Total time of the host's pauses, by which its clock is behind.
+    pub(crate) paused_total: Duration,
+    /// Proposals that are not acknowledged yet, by log index, with their terms.
     pub(crate) proposals: IndexMap<LogIndex, Epoch>,
-    /// Reads that are not answered, with what was answered before them.
+    /// Pending reads by tag, each with the last index that was acknowledged
+    /// when the read was requested.
     pub(crate) reads: IndexMap<u64, LogIndex>,
     synced: Synced,
-    queue: VecDeque<Job>,
+    /// Writes that are not synced yet, in order.
+    queue: VecDeque<Write>,
 }
 
 impl Host {
-    /// A host with a new replica.
+    /// Creates a host with a new replica.
     pub(crate) fn new(replica: Replica, clock_rate: u64) -> Self {
         let status = replica.status();
         let meta = SnapshotMeta {
@@ -105,11 +108,11 @@
         };
         Self {
             replica: Some(replica),
-            state: Applied::default(),
+            state: AppliedState::default(),
             lost: false,
             clock_rate,
-            suspended: None,
-            missed: Duration::ZERO,
+            paused_until: None,
+            paused_total: Duration::ZERO,
             proposals: IndexMap::new(),
             reads: IndexMap::new(),
             synced: Synced {
@@ -120,31 +123,31 @@
         }
     }
 
-    /// What the host's clock shows.
+    /// Converts the simulation's time to the host's local time.
     pub(crate) fn local(&self, now: Time) -> Time {
-        let seen = now - self.missed;
-        Time::from_micros(seen.as_micros() * self.clock_rate / 1_000)
+        let running_time = now - self.paused_total;
+        Time::from_micros(running_time.as_micros() * self.clock_rate / 1_000)
     }
 
-    /// Queues a save.
-    pub(crate) fn save(&mut self, persist: Persist) {
-        self.queue.push_back(Job::Save {
+    /// Queues a write of the log.
+    pub(crate) fn persist(&mut self, persist: Persist) {
+        self.queue.push_back(Write::Log {
             persist_id: persist.id,
             hard_state: persist.hard_state,
             entries: persist.entries,
         });
     }
 
-    /// Queues a snapshot from the leader and takes it as the state.
+    /// Installs a snapshot from the leader as the state and queues its write.
     pub(crate) fn restore(
         &mut self,
         persist_id: PersistId,
         meta: SnapshotMeta,
-        state: Applied,
+        state: AppliedState,
         keep: bool,
     ) {
         self.state = state;
-        self.queue.push_back(Job::Restore {
+        self.queue.push_back(Write::Restore {
             persist_id,
             meta,
             state,
@@ -152,26 +155,28 @@
         });
     }
 
-    /// Whether saves are not synced.
+    /// Whether there are unsynced writes.
     pub(crate) fn is_dirty(&self) -> bool {
         !self.queue.is_empty()
     }
 
-    /// Syncs the first `count` saves and returns the identifier of the last one.
+    /// Syncs the first `count` queued writes and returns the identifier of the
+    /// last one.
     pub(crate) fn sync(&mut self, count: usize) -> Option<PersistId> {
-        let mut done = None;
+        let mut last_synced = None;
         for _ in 0..count {
-            let Some(job) = self.queue.pop_front() else {
+            let Some(write) = self.queue.pop_front() else {
                 break;
             };
-            let (Job::Save { persist_id, .. } | Job::Restore { persist_id, .. }) = &job;
-            done = Some(*persist_id);
-            self.synced.carry_out(job);
+            let (Write::Log { persist_id, .. } | Write::Restore { persist_id, .. }) = &write;
+            last_synced = Some(*persist_id);
+            self.synced.apply(write);
         }
-        done
+        last_synced
     }
 
-    /// Syncs a snapshot of the replica's own state and tells its index.
+    /// Persists a snapshot of the host's own state and returns its index;
+    /// `None` if there is nothing newer than the latest snapshot.
     pub(crate) fn snapshot(&mut self) -> Option<LogIndex> {
         let meta = self.replica.as_ref()?.snapshot_meta(self.state.index)?;
         let index = meta.position.index;
@@ -184,17 +189,19 @@
         Some(index)
     }
 
-    /// The latest synced snapshot.
-    pub(crate) fn latest_snapshot(&self) -> (SnapshotMeta, Applied) {
+    /// Returns the latest synced snapshot.
+    pub(crate) fn latest_snapshot(&self) -> (SnapshotMeta, AppliedState) {
         (self.synced.meta.clone(), self.synced.state)
     }
 
-    /// Whether an entry is synced here, or was when the disk was lost.
+    /// Whether an entry is synced to the host's disk, or was when the host was
+    /// lost.
     pub(crate) fn holds(&self, position: Position) -> bool {
         self.synced.holds(position)
     }
 
-    /// The process dies; the first `kept` unsynced saves reached the disk.
+    /// Crashes the process after the first `kept` unsynced writes have reached
+    /// the disk.
     pub(crate) fn crash(&mut self, kept: usize) {
         self.sync(kept);
         self.queue.clear();
@@ -203,7 +210,7 @@
         self.reads.clear();
     }
 
-    /// The process starts again with what was synced.
+    /// Restarts the process from the synced state.
     pub(crate) fn restart(&mut self, node: NodeId, cfg: Settings, seed: u64, now: Time) {
         let meta = self.synced.meta.clone();
         let entries = self.synced.entries.iter();
@@ -220,12 +227,12 @@
         self.replica = Some(Replica::restart(node, restart, cfg, seed, now));
     }
 
-    /// Hashes all that decides what the host does next, but for the time.
-    pub(crate) fn shape(&self, state: &mut impl Hasher) {
+    /// Hashes the state that determines the host's next steps, except times.
+    pub(crate) fn hash_state(&self, state: &mut impl Hasher) {
         (self.synced.clone(), self.lost, self.state).hash(state);
-        self.queue.iter().for_each(|job| job.hash(state));
+        self.queue.iter().for_each(|write| write.hash(state));
         if let Some(replica) = &self.replica {
-            replica.shape(state);
+            replica.hash_state(state);
         }
     }
 }
--- a/crates/quay_quorum/src/check/mod.rs
+++ b/crates/quay_quorum/src/check/mod.rs
@@ -1,14 +1,16 @@
-//! Checks of the replicas: seeded faults and a bounded exploration.
+//! Safety checks of the replicas: random runs with fault injection and a
+//! bounded exploration of all event orders.
 //!
-//! A [`Simulation`] holds real [`Replica`](crate::Replica)s over a fake of messages
-//! and disks; a [`SafetyChecker`] sees every leader, commit and read, and names the
-//! first rule that is broken. The same seed gives the same run.
+//! A [`Simulation`] runs real [`Replica`](crate::Replica)s over a simulated
+//! network and simulated disks. A [`SafetyChecker`] observes every election,
+//! commit and read, and reports the first [`Violation`]. The same seed gives
+//! the same run.
 //!
 //! ```
 //! use quay_quorum::check::{Simulation, SimulationSettings};
 //!
 //! let mut simulation = Simulation::new(SimulationSettings::default(), 1);
-//! let report = simulation.run(2_000).expect("no rule is broken");
+//! let report = simulation.run(2_000).expect("no safety violation");
 //! assert!(report.commits > 0);
 //! ```
 
--- a/crates/quay_quorum/src/check/safety_checker.rs
+++ b/crates/quay_quorum/src/check/safety_checker.rs
@@ -1,4 +1,4 @@
-//! Sees what all replicas do and names the first rule that is broken.
+//! Checks the safety properties of the protocol over all replicas.
 
 use {
     crate::{Entry, Payload, Position, Replica},
@@ -7,27 +7,28 @@
     std::fmt,
 };
 
-/// A broken rule.
+/// A violated safety property.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Violation {
-    /// Two replicas lead in one term.
+    /// Two replicas became leader in the same term.
     TwoLeaders(Epoch, NodeId, NodeId),
-    /// Replicas applied different entries at one index.
+    /// Replicas applied different entries at the same index.
     Diverged(NodeId, LogIndex),
-    /// A replica skipped or repeated an entry.
+    /// A replica applied an entry that does not directly follow its last one.
     OutOfOrder(NodeId, LogIndex),
-    /// A new leader lacks an entry that was committed.
+    /// A new leader lacks a committed entry.
     CommittedLost(NodeId, LogIndex),
-    /// An answered command is not on the disks of a quorum.
+    /// A command was acknowledged before a quorum had persisted its entry.
     NotDurable(LogIndex),
-    /// A confirmed read misses a command that was answered before it.
+    /// A confirmed read does not include a command that was acknowledged before
+    /// the read was requested.
     StaleRead {
-        /// Replica that answered.
+        /// Replica that answered the read.
         node: NodeId,
-        /// Index that the read saw.
-        saw: LogIndex,
-        /// Index that was answered before the read was asked for.
-        floor: LogIndex,
+        /// Index up to which the read includes entries.
+        read_index: LogIndex,
+        /// Last index that was acknowledged when the read was requested.
+        required_index: LogIndex,
     },
 }
 
@@ -37,27 +38,27 @@
     }
 }
 
-/// One committed entry: its term and a digest of all up to it.
+/// A committed entry: its term and a digest of all entries up to it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Committed {
     term: Epoch,
-    chain: u64,
+    digest: u64,
 }
 
-/// What a replica has applied: a digest that depends on every entry.
+/// State of the simulated state machine: a digest of every applied entry.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
-pub struct Applied {
-    /// Last entry that was applied.
+pub struct AppliedState {
+    /// Index of the last applied entry.
     pub index: LogIndex,
-    /// Digest of all entries up to it.
-    pub chain: u64,
+    /// Digest of all entries up to `index`.
+    pub digest: u64,
 }
 
-impl Applied {
-    /// Applies one entry.
+impl AppliedState {
+    /// Applies an entry.
     fn apply(&mut self, entry: &Entry) {
         const PRIME: u64 = 0x0000_0100_0000_01b3;
-        let mut mix = |value: u64| self.chain = (self.chain ^ value).wrapping_mul(PRIME);
+        let mut mix = |value: u64| self.digest = (self.digest ^ value).wrapping_mul(PRIME);
         mix(entry.position.term.0);
         match &entry.payload {
             Payload::Empty => mix(1),
@@ -67,15 +68,15 @@
         self.index = entry.index();
     }
 
-    /// The encoded state, for snapshots.
+    /// Encodes the state for a snapshot.
     #[must_use]
     pub fn encode(&self) -> Box<[u8]> {
-        [self.index.0.to_le_bytes(), self.chain.to_le_bytes()]
+        [self.index.0.to_le_bytes(), self.digest.to_le_bytes()]
             .concat()
             .into()
     }
 
-    /// Reads an encoded state.
+    /// Decodes a state from a snapshot.
     #[must_use]
     pub fn decode(data: &[u8]) -> Self {
         let word = |from: usize| {
@@ -87,83 +88,86 @@
         };
         Self {
             index: LogIndex(word(0)),
-            chain: word(8),
+            digest: word(8),
         }
     }
 }
 
-/// Sees every leader, commit and read.
+/// Checks every election, applied entry, acknowledgement and read.
 #[derive(Debug, Clone, Default)]
 pub struct SafetyChecker {
     leaders: IndexMap<Epoch, NodeId>,
-    /// Position 0 is the entry at index 1.
+    /// Committed entries; position 0 holds the entry at index 1.
     history: Vec<Committed>,
-    /// Last command that was answered as committed.
-    answered: LogIndex,
+    /// Index of the last command that was acknowledged as committed.
+    acknowledged: LogIndex,
 }
 
 impl SafetyChecker {
-    /// Entries that were committed.
+    /// Number of committed entries.
     #[must_use]
     pub fn commits(&self) -> u64 {
         self.history.len() as u64
     }
 
-    /// Leaders that were elected.
+    /// Number of elected leaders.
     #[must_use]
     pub fn elections(&self) -> u64 {
         self.leaders.len() as u64
     }
 
-    /// Last command that was answered as committed.
+    /// Index of the last command that was acknowledged as committed.
     #[must_use]
-    pub const fn answered(&self) -> LogIndex {
-        self.answered
+    pub const fn acknowledged(&self) -> LogIndex {
+        self.acknowledged
     }
 
-    /// The committed entry at an index.
+    /// Returns the committed entry at an index.
     fn committed(&self, index: LogIndex) -> Option<Committed> {
         let slot = usize::try_from(index.0.checked_sub(1)?).ok()?;
         self.history.get(slot).copied()
     }
 
-    /// A replica leads from now on.
+    /// Checks a replica that has become leader.
     ///
     /// # Errors
     ///
-    /// If another leads in this term, or a committed entry is missing.
+    /// If the term already has another leader, or the replica lacks a committed
+    /// entry of an earlier term.
     pub fn on_leader_elected(&mut self, replica: &Replica, term: Epoch) -> Result<(), Violation> {
         let node = replica.status().node;
         let known = *self.leaders.entry(term).or_insert(node);
         if known != node {
             return Err(Violation::TwoLeaders(term, known, node));
         }
-        let kept_after = replica.compacted_through().index;
-        for index in (kept_after.0 + 1..=self.commits()).map(LogIndex) {
+        let compacted_through = replica.compacted_through().index;
+        for index in (compacted_through.0 + 1..=self.commits()).map(LogIndex) {
             let Some(committed) = self.committed(index) else {
                 break;
             };
-            // What a later term committed, an earlier leader need not hold.
+            // The leader of an earlier term need not have entries that a later
+            // term has committed.
             if committed.term >= term {
                 break;
             }
-            let held = replica.entry(index).map(|entry| entry.position.term);
-            if held != Some(committed.term) {
+            let entry_term = replica.entry(index).map(|entry| entry.position.term);
+            if entry_term != Some(committed.term) {
                 return Err(Violation::CommittedLost(node, index));
             }
         }
         Ok(())
     }
 
-    /// A replica applies an entry.
+    /// Applies an entry to a replica's state and checks the result.
     ///
     /// # Errors
     ///
-    /// If it is not the next one, or another replica applied another there.
+    /// If the entry does not directly follow the last one, or another replica
+    /// applied a different entry at this index.
     pub fn on_apply(
         &mut self,
         node: NodeId,
-        state: &mut Applied,
+        state: &mut AppliedState,
         entry: &Entry,
     ) -> Result<(), Violation> {
         let index = entry.index();
@@ -173,7 +177,7 @@
         state.apply(entry);
         let now = Committed {
             term: entry.position.term,
-            chain: state.chain,
+            digest: state.digest,
         };
         match self.committed(index) {
             Some(known) if known == now => Ok(()),
@@ -185,20 +189,21 @@
         }
     }
 
-    /// A replica takes a snapshot as its state.
+    /// Checks a snapshot that a replica installs.
     ///
     /// # Errors
     ///
-    /// If the state is not the one that was committed there.
+    /// If the state differs from the committed state at the snapshot's
+    /// position.
     pub fn on_restore(
         &self,
         node: NodeId,
-        state: Applied,
+        state: AppliedState,
         position: Position,
     ) -> Result<(), Violation> {
         let expected = Committed {
             term: position.term,
-            chain: state.chain,
+            digest: state.digest,
         };
         if state.index == position.index && self.committed(position.index) == Some(expected) {
             return Ok(());
@@ -206,11 +211,12 @@
         Err(Violation::Diverged(node, position.index))
     }
 
-    /// A command is answered as committed; `durable` of `quorum` disks hold it.
+    /// Checks a command that is acknowledged as committed while `durable`
+    /// voters have persisted its entry.
     ///
     /// # Errors
     ///
-    /// If too few disks hold it.
+    /// If `durable` is less than `quorum`.
     pub fn on_acknowledge(
         &mut self,
         index: LogIndex,
@@ -220,18 +226,28 @@
         if durable < quorum {
             return Err(Violation::NotDurable(index));
         }
-        self.answered = self.answered.max(index);
+        self.acknowledged = self.acknowledged.max(index);
         Ok(())
     }
 
-    /// A read is answered that was asked for when `floor` was answered.
+    /// Checks a confirmed read. `required_index` is the last index that was
+    /// acknowledged when the read was requested.
     ///
     /// # Errors
     ///
-    /// If it misses a command that was answered before.
-    pub fn on_read(&self, node: NodeId, saw: LogIndex, floor: LogIndex) -> Result<(), Violation> {
-        if saw < floor {
-            return Err(Violation::StaleRead { node, saw, floor });
+    /// If the read does not include a command acknowledged before the request.
+    pub fn on_read(
+        &self,
+        node: NodeId,
+        read_index: LogIndex,
+        required_index: LogIndex,
+    ) -> Result<(), Violation> {
+        if read_index < required_index {
+            return Err(Violation::StaleRead {
+                node,
+                read_index,
+                required_index,
+            });
         }
         Ok(())
     }
--- a/crates/quay_quorum/src/check/simulation.rs
+++ b/crates/quay_quorum/src/check/simulation.rs
@@ -1,4 +1,4 @@
-//! Replicas over a fake of messages and disks.
+//! Simulation of a group of replicas with a simulated network and disks.
 
 use {
     crate::{
@@ -7,7 +7,7 @@
         check::{
             faults::Faults,
             host::Host,
-            safety_checker::{Applied, SafetyChecker, Violation},
+            safety_checker::{AppliedState, SafetyChecker, Violation},
         },
     },
     indexmap::{IndexMap, IndexSet},
@@ -17,20 +17,24 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// How often things go wrong, in thousandths of a step or message.
+/// Settings of a simulation. Probabilities are in thousandths, per message or
+/// per step.
 #[derive(Debug, Clone, Copy)]
 pub struct SimulationSettings {
-    /// Voters at the start.
+    /// Number of voters at the start.
     pub replicas: u64,
-    /// Messages that get lost.
+    /// Probability that a message is lost, in thousandths.
     pub loss: u64,
-    /// Messages that arrive twice.
+    /// Probability that a message is sent twice, in thousandths.
     pub duplicates: u64,
-    /// Longest delay of a message; shorter ones overtake longer ones.
+    /// Maximum delay of a message. Delays are random, so messages may be
+    /// reordered.
     pub delay: Duration,
-    /// How far the clocks of the hosts are off, either way.
+    /// Maximum deviation of a host's clock rate in either direction, in
+    /// thousandths.
     pub clock_error: u64,
-    /// Steps with a fault: a crash, a partition, a lost disk.
+    /// Probability that a step starts a fault, such as a crash, a partition, a
+    /// pause or a lost disk, in thousandths.
     pub faults: u64,
     /// Settings of the replicas.
     pub replica: Settings,
@@ -46,7 +50,8 @@
             clock_error: 600,
             faults: 4,
             replica: Settings {
-                // Small limits, so that snapshots and windows are put to the test.
+                // Small limits, so that runs exercise snapshots and the limit
+                // on messages in flight.
                 keep_entries: 4,
                 max_batch_bytes: 128,
                 max_in_flight: 3,
@@ -57,78 +62,80 @@
     }
 }
 
-/// Longest time that a resumed host takes to read what has come meanwhile, in
-/// microseconds.
-const BUFFERED_US: u64 = 200_000;
+/// Maximum time that a resumed host takes to read the messages buffered during
+/// its pause, in microseconds.
+const MAX_BUFFER_DRAIN_US: u64 = 200_000;
 
-/// What a run put to the test.
+/// Counts of what happened in a run.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Report {
-    /// Steps that were made.
+    /// Number of simulation steps.
     pub steps: u64,
-    /// Leaders that were elected.
+    /// Number of elected leaders.
     pub elections: u64,
-    /// Entries that were committed.
+    /// Number of committed entries.
     pub commits: u64,
-    /// Commands that were answered as committed.
+    /// Number of commands acknowledged as committed.
     pub acknowledged: u64,
-    /// Reads that were confirmed.
+    /// Number of confirmed reads.
     pub reads: u64,
-    /// Requests that were refused.
+    /// Number of refused requests.
     pub refusals: u64,
-    /// Processes that died.
+    /// Number of process crashes.
     pub crashes: u64,
-    /// Links that were cut.
+    /// Number of partitions.
     pub partitions: u64,
-    /// Hosts that stood still for a while, their clocks too.
+    /// Number of pauses of a host and its clock.
     pub pauses: u64,
-    /// Disks that were lost.
+    /// Number of lost disks.
     pub lost_disks: u64,
-    /// Lost hosts that were replaced under a new identity.
+    /// Number of lost hosts that were replaced under a new identity.
     pub replaced_hosts: u64,
-    /// Snapshots that a follower took from its leader.
+    /// Number of snapshots that followers installed from the leader.
     pub snapshots_installed: u64,
 }
 
-/// A message under way.
+/// A message in transit.
 #[derive(Debug, Clone)]
 pub(crate) struct Packet {
+    /// Time of delivery.
     pub(crate) due: Time,
     pub(crate) from: NodeId,
     pub(crate) to: NodeId,
     pub(crate) message: Message,
 }
 
-/// Replicas over a fake of messages and disks.
+/// A group of replicas with a simulated network and disks.
 #[derive(Debug, Clone)]
 pub struct Simulation {
     pub(crate) cfg: SimulationSettings,
     pub(crate) rng: ChaCha8Rng,
     pub(crate) now: Time,
     pub(crate) hosts: IndexMap<NodeId, Host>,
-    pub(crate) wire: Vec<Packet>,
-    /// Links on which nothing arrives, by sender and receiver.
-    pub(crate) cuts: IndexSet<(NodeId, NodeId)>,
+    /// Messages in transit.
+    pub(crate) in_transit: Vec<Packet>,
+    /// Links that drop all messages, as pairs of sender and receiver.
+    pub(crate) partitioned_links: IndexSet<(NodeId, NodeId)>,
     pub(crate) checker: SafetyChecker,
     pub(crate) report: Report,
     pub(crate) faults: Faults,
     next_tag: u64,
 }
 
-/// The member of the check with a number.
+/// Creates the group member with a node identity.
 pub(crate) fn member(node: NodeId) -> Member {
     let port = u16::try_from(node.0 % 60_000).unwrap_or_default();
     let addr = SocketAddr::from(([127, 0, 0, 1], port));
     Member::new(node, addr, format!("dc-{}", node.0 % 3))
 }
 
-/// Draws the speed of a clock.
+/// Draws the rate of a host's clock, in thousandths of the true rate.
 pub(crate) fn clock_rate(rng: &mut ChaCha8Rng, cfg: SimulationSettings) -> u64 {
     1_000 - cfg.clock_error + rng.next_u64() % (2 * cfg.clock_error + 1)
 }
 
 impl Simulation {
-    /// A group of new replicas.
+    /// Creates a group of new replicas.
     #[must_use]
     pub fn new(cfg: SimulationSettings, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -147,8 +154,8 @@
             rng,
             now,
             hosts,
-            wire: Vec::new(),
-            cuts: IndexSet::new(),
+            in_transit: Vec::new(),
+            partitioned_links: IndexSet::new(),
             checker: SafetyChecker::default(),
             report: Report::default(),
             faults: Faults::new(cfg.replicas),
@@ -156,11 +163,11 @@
         }
     }
 
-    /// Makes steps until a rule is broken.
+    /// Runs a number of steps, or until the first safety violation.
     ///
     /// # Errors
     ///
-    /// The rule that is broken.
+    /// Returns the safety violation.
     pub fn run(&mut self, steps: u64) -> Result<Report, Violation> {
         for _ in 0..steps {
             self.step()?;
@@ -168,7 +175,7 @@
         Ok(self.report())
     }
 
-    /// What was put to the test so far.
+    /// Returns the counts so far.
     #[must_use]
     pub fn report(&self) -> Report {
         Report {
@@ -178,30 +185,30 @@
         }
     }
 
-    /// Time of the run.
+    /// Simulated time.
     #[must_use]
     pub const fn now(&self) -> Time {
         self.now
     }
 
-    /// A number below `limit`.
+    /// Draws a number below `limit`.
     pub(crate) fn draw(&mut self, limit: u64) -> u64 {
         self.rng.next_u64() % limit.max(1)
     }
 
-    /// One of the hosts.
+    /// Draws one of the hosts.
     pub(crate) fn draw_node(&mut self) -> NodeId {
         let count = self.hosts.len() as u64;
         let slot = usize::try_from(self.draw(count)).unwrap_or_default();
         self.hosts.keys()[slot]
     }
 
-    /// Whether something that happens `permille` times in a thousand happens.
+    /// Returns true with a probability of `permille` thousandths.
     pub(crate) fn chance(&mut self, permille: u64) -> bool {
         self.draw(1_000) < permille
     }
 
-    /// The replica that leads with the greatest term.
+    /// Returns the leader with the greatest term.
     #[must_use]
     pub fn leader(&self) -> Option<NodeId> {
         let leading = self.hosts.iter().filter_map(|(node, host)| {
@@ -211,14 +218,15 @@
         leading.max().map(|(_, node)| node)
     }
 
-    /// Makes one step: time, messages, disks, requests and faults.
+    /// Runs one step: advances the time, delivers messages, syncs disks, sends
+    /// requests and injects faults.
     fn step(&mut self) -> Result<(), Violation> {
         self.report.steps += 1;
         self.now = self.now + Duration::from_millis(1 + self.draw(15));
         self.deliver_due()?;
         for node in self.hosts.keys().copied().collect::<Vec<_>>() {
-            let jobs = usize::try_from(self.draw(4)).unwrap_or_default();
-            self.sync(node, jobs)?;
+            let count = usize::try_from(self.draw(4)).unwrap_or_default();
+            self.sync(node, count)?;
             self.input(node, Input::Tick)?;
         }
         let node = self.draw_node();
@@ -231,8 +239,8 @@
         self.inject_faults()
     }
 
-    /// Reads at each replica that takes itself for the leader: a stale one
-    /// must not answer.
+    /// Requests reads from every replica that considers itself leader, since a
+    /// deposed leader must not answer any.
     fn read_at_leaders(&mut self) -> Result<(), Violation> {
         let leading = |host: &Host| host.replica.as_ref().is_some_and(Replica::is_leader);
         let leaders = self.hosts.iter().filter(|(_, host)| leading(host));
@@ -245,25 +253,25 @@
     }
 
     // -----------------------------------------------------------------------
-    // Moves
+    // Events
 
-    /// Delivers every message that is due.
+    /// Delivers the messages that are due.
     fn deliver_due(&mut self) -> Result<(), Violation> {
         let now = self.now;
         let due: Vec<Packet> = self
-            .wire
+            .in_transit
             .extract_if(.., |packet| packet.due <= now)
             .collect();
         for packet in due {
-            if self.cuts.contains(&(packet.from, packet.to)) {
+            if self.partitioned_links.contains(&(packet.from, packet.to)) {
                 continue;
             }
-            match self.resumes(packet.to) {
-                // What was sent to a suspended host waits in its buffers.
-                Some(resumes) => {
-                    let late = Duration::from_micros(self.draw(BUFFERED_US));
-                    let due = resumes + late;
-                    self.wire.push(Packet { due, ..packet });
+            match self.resume_time(packet.to) {
+                // Messages to a paused host wait in its receive buffers.
+                Some(resume_time) => {
+                    let read_delay = Duration::from_micros(self.draw(MAX_BUFFER_DRAIN_US));
+                    let due = resume_time + read_delay;
+                    self.in_transit.push(Packet { due, ..packet });
                 }
                 None => self.deliver(packet)?,
             }
@@ -271,12 +279,12 @@
         Ok(())
     }
 
-    /// When a suspended host goes on.
-    fn resumes(&self, node: NodeId) -> Option<Time> {
-        self.hosts.get(&node).and_then(|host| host.suspended)
+    /// Time at which a paused host resumes; `None` if the host is running.
+    fn resume_time(&self, node: NodeId) -> Option<Time> {
+        self.hosts.get(&node).and_then(|host| host.paused_until)
     }
 
-    /// Delivers one message.
+    /// Delivers a message.
     pub(crate) fn deliver(&mut self, packet: Packet) -> Result<(), Violation> {
         let Packet {
             from, to, message, ..
@@ -284,55 +292,56 @@
         self.input(to, Input::Message { from, message })
     }
 
-    /// Syncs saves of a host.
-    pub(crate) fn sync(&mut self, node: NodeId, jobs: usize) -> Result<(), Violation> {
+    /// Syncs up to `count` queued writes of a host.
+    pub(crate) fn sync(&mut self, node: NodeId, count: usize) -> Result<(), Violation> {
         let host = &mut self.hosts[&node];
-        if host.replica.is_none() || host.suspended.is_some() {
+        if host.replica.is_none() || host.paused_until.is_some() {
             return Ok(());
         }
-        match host.sync(jobs) {
+        match host.sync(count) {
             Some(persist_id) => self.input(node, Input::Persisted(persist_id)),
             None => Ok(()),
         }
     }
 
-    /// Proposes a command at a host.
+    /// Proposes a command to a host's replica.
     pub(crate) fn propose(&mut self, node: NodeId) -> Result<(), Violation> {
-        let tag = self.take_tag();
+        let tag = self.allocate_tag();
         let command = tag.to_le_bytes().into();
         self.input(node, Input::Propose { tag, command })
     }
 
-    /// Asks a host for a read.
+    /// Requests a read from a host's replica.
     pub(crate) fn read(&mut self, node: NodeId) -> Result<(), Violation> {
-        let tag = self.take_tag();
-        let floor = self.checker.answered();
-        self.hosts[&node].reads.insert(tag, floor);
+        let tag = self.allocate_tag();
+        let required_index = self.checker.acknowledged();
+        self.hosts[&node].reads.insert(tag, required_index);
         self.input(node, Input::Read { tag })
     }
 
-    /// Asks a host for a change of members.
+    /// Requests a membership change from a host's replica.
     pub(crate) fn change(
         &mut self,
         node: NodeId,
         change: MembershipChange,
     ) -> Result<(), Violation> {
-        let tag = self.take_tag();
+        let tag = self.allocate_tag();
         self.input(node, Input::ChangeMembership { tag, change })
     }
 
-    /// A tag that was not used before.
-    fn take_tag(&mut self) -> u64 {
+    /// Allocates a correlation tag.
+    fn allocate_tag(&mut self) -> u64 {
         self.next_tag += 1;
         self.next_tag
     }
 
-    /// Gives a replica an input and does what it asks for.
+    /// Passes an input to a host's replica and carries out the resulting
+    /// actions. Does nothing if the host is unknown, paused or not running.
     pub(crate) fn input(&mut self, node: NodeId, input: Input) -> Result<(), Violation> {
         let Some(host) = self.hosts.get_mut(&node) else {
             return Ok(());
         };
-        if host.suspended.is_some() {
+        if host.paused_until.is_some() {
             return Ok(());
         }
         let now = host.local(self.now);
@@ -342,7 +351,7 @@
         let mut actions = replica.step(now, input);
         actions.extend(replica.flush(now));
         for action in actions {
-            self.act(node, action)?;
+            self.execute(node, action)?;
         }
         Ok(())
     }
@@ -350,10 +359,10 @@
     // -----------------------------------------------------------------------
     // Actions
 
-    /// Does what a replica asks for.
-    fn act(&mut self, node: NodeId, action: Action) -> Result<(), Violation> {
+    /// Carries out an action of a replica.
+    fn execute(&mut self, node: NodeId, action: Action) -> Result<(), Violation> {
         match action {
-            Action::Persist(persist) => self.hosts[&node].save(persist),
+            Action::Persist(persist) => self.hosts[&node].persist(persist),
             Action::Send { to, message } => self.send(node, to, &message),
             Action::SendSnapshot { to, term } => {
                 let (meta, state) = self.hosts[&node].latest_snapshot();
@@ -366,7 +375,7 @@
                 data,
                 keep,
             } => {
-                let state = Applied::decode(&data);
+                let state = AppliedState::decode(&data);
                 self.checker.on_restore(node, state, meta.position)?;
                 self.report.snapshots_installed += 1;
                 self.hosts[&node].restore(persist_id, meta, state, keep);
@@ -375,11 +384,11 @@
             Action::Proposed { index, term, .. } => {
                 self.hosts[&node].proposals.insert(index, term);
             }
-            Action::Refused { tag, refusal } => self.refused(node, tag, refusal),
+            Action::Refused { tag, refusal } => self.on_refused(node, tag, refusal),
             Action::ReadReady { tag, index } => {
-                if let Some(floor) = self.hosts[&node].reads.shift_remove(&tag) {
+                if let Some(required_index) = self.hosts[&node].reads.shift_remove(&tag) {
                     self.report.reads += 1;
-                    self.checker.on_read(node, index, floor)?;
+                    self.checker.on_read(node, index, required_index)?;
                 }
             }
             Action::BecameLeader(term) => {
@@ -395,7 +404,7 @@
         Ok(())
     }
 
-    /// Sends a message, which may get lost or arrive twice.
+    /// Sends a message, which may be lost or duplicated.
     fn send(&mut self, from: NodeId, to: NodeId, message: &Message) {
         let copies = 1 + u64::from(self.chance(self.cfg.duplicates));
         for _ in 0..copies {
@@ -404,7 +413,7 @@
             }
             let delay = u64::try_from(self.cfg.delay.as_micros()).unwrap_or_default();
             let due = self.now + Duration::from_micros(self.draw(delay));
-            self.wire.push(Packet {
+            self.in_transit.push(Packet {
                 due,
                 from,
                 to,
@@ -413,30 +422,30 @@
         }
     }
 
-    /// Applies entries and answers the proposals among them.
+    /// Applies entries and acknowledges the host's own proposals among them.
     fn apply(&mut self, node: NodeId, entries: &[crate::Entry]) -> Result<(), Violation> {
         for entry in entries {
             let host = &mut self.hosts[&node];
             self.checker.on_apply(node, &mut host.state, entry)?;
             let proposed = host.proposals.shift_remove(&entry.index());
             if proposed == Some(entry.position.term) {
-                self.answer(node, entry.position)?;
+                self.acknowledge(node, entry.position)?;
             }
         }
         Ok(())
     }
 
-    /// Answers a proposal as committed.
-    fn answer(&mut self, node: NodeId, position: Position) -> Result<(), Violation> {
+    /// Acknowledges a proposal as committed.
+    fn acknowledge(&mut self, node: NodeId, position: Position) -> Result<(), Violation> {
         let Some(replica) = &self.hosts[&node].replica else {
             return Ok(());
         };
         let members = replica.status().members;
         let voters = members.voters.iter();
         let durable = voters
-            .filter(|held| {
+            .filter(|member| {
                 self.hosts
-                    .get(&held.node)
+                    .get(&member.node)
                     .is_some_and(|host| host.holds(position))
             })
             .count();
@@ -445,22 +454,22 @@
             .on_acknowledge(position.index, durable, members.quorum())
     }
 
-    /// A request was refused.
-    fn refused(&mut self, node: NodeId, tag: u64, _: Refusal) {
+    /// Handles the refusal of a request.
+    fn on_refused(&mut self, node: NodeId, tag: u64, _: Refusal) {
         self.report.refusals += 1;
         self.hosts[&node].reads.shift_remove(&tag);
     }
 
-    /// Latest term of any replica.
+    /// Greatest term of any running replica.
     #[must_use]
     pub fn term(&self) -> Epoch {
         let terms = self.hosts.values().filter_map(|host| host.replica.as_ref());
         terms.map(Replica::term).max().unwrap_or_default()
     }
 
-    /// Last command that was answered as committed.
+    /// Index of the last command that was acknowledged as committed.
     #[must_use]
-    pub const fn answered(&self) -> LogIndex {
-        self.checker.answered()
+    pub const fn acknowledged(&self) -> LogIndex {
+        self.checker.acknowledged()
     }
 }
--- a/crates/quay_quorum/src/entry.rs
+++ b/crates/quay_quorum/src/entry.rs
@@ -1,4 +1,4 @@
-//! Entries of the replicated log and what is saved beside them.
+//! Log entries, and the term, vote and snapshot metadata persisted with them.
 
 use {
     crate::Membership,
@@ -6,8 +6,8 @@
     serde::{Deserialize, Serialize},
 };
 
-/// A place in the log. Of two logs the one whose last position is greater is
-/// the more complete one: the term counts first.
+/// Term and index of an entry. Positions compare by term first: of two logs,
+/// the one with the greater last position is the more up-to-date one.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -18,23 +18,23 @@
     pub index: LogIndex,
 }
 
-/// What an entry carries.
+/// Content of an entry.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Payload {
-    /// Nothing: the first entry of a leader's term.
+    /// No content: the first entry of a leader's term.
     Empty,
     /// An encoded command of the state machine.
     Command(#[serde(with = "quay_types::bytes")] Box<[u8]>),
-    /// The members from this entry on.
+    /// Membership in force from this entry on.
     Members(Membership),
 }
 
 /// One entry of the log.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry {
-    /// Where it stands.
+    /// Term and index.
     pub position: Position,
-    /// What it carries.
+    /// Content.
     pub payload: Payload,
 }
 
@@ -45,7 +45,7 @@
         self.position.index
     }
 
-    /// Bytes that the payload takes, for limits on batches.
+    /// Approximate encoded size in bytes, used to limit batches.
     #[must_use]
     pub fn bytes(&self) -> usize {
         const FRAME_BYTES: usize = 24;
@@ -56,20 +56,20 @@
     }
 }
 
-/// What a replica must never forget beside its log.
+/// State that a replica must persist besides its log.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct HardState {
-    /// Latest term that the replica has seen; only rises.
+    /// Latest term that the replica has seen; never decreases.
     pub term: Epoch,
-    /// Whom it voted for in that term.
+    /// Candidate that the replica voted for in that term.
     pub vote: Option<NodeId>,
 }
 
-/// What a snapshot stands for.
+/// Position and membership that a snapshot covers.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SnapshotMeta {
     /// Last entry that the snapshot covers.
     pub position: Position,
-    /// Members at that entry.
+    /// Membership in force at that entry.
     pub members: Membership,
 }
--- a/crates/quay_quorum/src/lib.rs
+++ b/crates/quay_quorum/src/lib.rs
@@ -1,9 +1,9 @@
-//! Replicated log as a state machine without I/O.
+//! Replicated log in the manner of Raft, as a state machine without I/O.
 //!
-//! A [`Replica`] takes an [`Input`] and the time and returns [`Action`]s: what
-//! to save, what to send, what to apply. It never reads a clock, a disk or a
-//! socket, so that the same inputs give the same actions in a daemon and in
-//! [`check`], which drives replicas through seeded faults.
+//! [`Replica::step`] takes an [`Input`] and the current time and returns
+//! [`Action`]s: what to persist, send and apply. A replica never reads a clock,
+//! a disk or a socket, so the same inputs give the same actions in a daemon and
+//! in the simulations of [`check`], which inject faults drawn from a seed.
 //!
 //! ```
 //! use quay_quorum::{Action, Input, Member, Membership, Replica, Settings};
@@ -11,14 +11,14 @@
 //!
 //! let only = Membership::from_voters([Member::new(NodeId(1), "127.0.0.1:1".parse().expect("address"), "dc-1")]);
 //! let mut replica = Replica::bootstrap(NodeId(1), only, Settings::default(), 7, Time::ZERO);
-//! // The election timeout passes; the only voter elects itself once its vote is saved.
+//! // The election timeout passes; the only voter elects itself once its vote is persisted.
 //! let now = Time::from_millis(5_000);
 //! replica.step(now, Input::Tick);
-//! let saved: Vec<_> = replica.flush(now).into_iter().filter_map(|action| match action {
+//! let persisted: Vec<_> = replica.flush(now).into_iter().filter_map(|action| match action {
 //!     Action::Persist(persist) => Some(persist.id),
 //!     _ => None,
 //! }).collect();
-//! replica.step(now, Input::Persisted(saved[0]));
+//! replica.step(now, Input::Persisted(persisted[0]));
 //! assert!(replica.status().leads);
 //! ```
 
--- a/crates/quay_quorum/src/machine.rs
+++ b/crates/quay_quorum/src/machine.rs
@@ -1,29 +1,29 @@
-//! What a group replicates.
+//! The state machine that a group replicates.
 
 use {
     quay_types::{Epoch, LogIndex},
     serde::{Serialize, de::DeserializeOwned},
 };
 
-/// State that every replica of a group reaches by the same commands in the
-/// same order.
+/// Deterministic state machine: every replica of a group applies the same
+/// commands in the same order and reaches the same state.
 ///
-/// `apply` must depend on nothing but the state and its arguments: no clock,
-/// no random number, no iteration over an unordered collection. A command that
-/// needs the time carries the time that its leader read.
+/// `apply` must depend only on the state and its arguments: no clock, no random
+/// numbers, no iteration over an unordered collection. A command that needs the
+/// time carries the time that the leader read.
 pub trait StateMachine: Send + 'static {
-    /// Changes the state.
+    /// Request that changes the state.
     type Command: Serialize + DeserializeOwned + Send + 'static;
-    /// Answer to a command.
+    /// Result of a command.
     type Reply: Send + 'static;
-    /// Asks without changing the state.
+    /// Request that only reads the state.
     type Query: Send + 'static;
-    /// Answer to a query.
+    /// Result of a query.
     type Answer: Send + 'static;
-    /// The whole state, for snapshots.
+    /// Copy of the complete state.
     type Snapshot: Serialize + DeserializeOwned + Send + 'static;
 
-    /// Carries out a committed command.
+    /// Applies a committed command.
     ///
     /// `index` is the command's position in the log and `epoch` the term of the
     /// leader that proposed it; both are the same on every replica.
@@ -32,9 +32,9 @@
     /// Answers a query.
     fn query(&self, query: &Self::Query) -> Self::Answer;
 
-    /// Copies the state.
+    /// Returns a copy of the state.
     fn snapshot(&self) -> Self::Snapshot;
 
-    /// Replaces the state.
+    /// Replaces the state by a snapshot.
     fn restore(&mut self, snapshot: Self::Snapshot);
 }
--- a/crates/quay_quorum/src/membership.rs
+++ b/crates/quay_quorum/src/membership.rs
@@ -1,4 +1,4 @@
-//! Who belongs to a group, and changes of it.
+//! Membership of a group and its changes.
 
 use {
     quay_types::NodeId,
@@ -6,19 +6,19 @@
     std::net::SocketAddr,
 };
 
-/// One member of a group.
+/// A member of a group.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Member {
-    /// Identity; a member that lost its disk comes back under a new one.
+    /// Node identity. A member that lost its disk rejoins under a new identity.
     pub node: NodeId,
-    /// Address of its links.
+    /// Address that the other members connect to.
     pub addr: SocketAddr,
-    /// Data centre of its host.
+    /// Data centre of the member's host.
     pub data_centre: Box<str>,
 }
 
 impl Member {
-    /// A member.
+    /// Creates a member.
     #[must_use]
     pub fn new(node: NodeId, addr: SocketAddr, data_centre: impl Into<Box<str>>) -> Self {
         Self {
@@ -29,28 +29,30 @@
     }
 }
 
-/// Members of a group.
+/// The voters and learners of a group.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Membership {
-    /// Members whose saved entries count towards a quorum. No node twice.
+    /// Members that vote and whose persisted entries count towards a quorum. No
+    /// node occurs twice.
     pub voters: Vec<Member>,
-    /// Members that receive entries and have no vote. None is a voter too.
+    /// Members that receive entries but do not vote. No learner is also a
+    /// voter.
     pub learners: Vec<Member>,
 }
 
-/// A change of the members; only one may be open at a time.
+/// A change of the membership. Only one may be uncommitted at a time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MembershipChange {
-    /// Adds a member without a vote.
+    /// Adds a member that does not vote.
     AddLearner(Member),
-    /// Gives a learner that has caught up a vote.
+    /// Turns a learner that has caught up into a voter.
     Promote(NodeId),
-    /// Takes a member out.
+    /// Removes a voter or learner.
     Remove(NodeId),
 }
 
 impl Membership {
-    /// A group of voters.
+    /// Creates a membership without learners.
     #[must_use]
     pub fn from_voters(voters: impl IntoIterator<Item = Member>) -> Self {
         Self {
@@ -59,33 +61,34 @@
         }
     }
 
-    /// Voters and learners.
+    /// Iterates over voters, then learners.
     pub fn all(&self) -> impl Iterator<Item = &Member> {
         self.voters.iter().chain(&self.learners)
     }
 
-    /// The member with an identity.
+    /// Finds a voter or learner by node identity.
     #[must_use]
     pub fn get(&self, node: NodeId) -> Option<&Member> {
         self.all().find(|member| member.node == node)
     }
 
-    /// Whether a node has a vote.
+    /// Whether a node is a voter.
     #[must_use]
     pub fn is_voter(&self, node: NodeId) -> bool {
         self.voters.iter().any(|member| member.node == node)
     }
 
-    /// Voters that make a quorum.
+    /// Number of voters that form a quorum.
     #[must_use]
     pub fn quorum(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// The members after a change; `None` if it does not fit.
+    /// Returns the membership after a change; `None` if the change is not
+    /// valid.
     ///
-    /// The sets of voters before and after differ by one at most, so that each
-    /// quorum of one meets each quorum of the other.
+    /// The voter sets before and after differ by at most one node, so that
+    /// every quorum of one set intersects every quorum of the other.
     #[must_use]
     pub fn with_change(&self, change: &MembershipChange) -> Option<Self> {
         let mut next = self.clone();
@@ -97,13 +100,16 @@
                 next.learners.push(member.clone());
             }
             MembershipChange::Promote(node) => {
-                let at = self.learners.iter().position(|held| held.node == *node)?;
-                next.voters.push(next.learners.remove(at));
+                let index = self
+                    .learners
+                    .iter()
+                    .position(|member| member.node == *node)?;
+                next.voters.push(next.learners.remove(index));
             }
             MembershipChange::Remove(node) => {
                 self.get(*node)?;
-                next.voters.retain(|held| held.node != *node);
-                next.learners.retain(|held| held.node != *node);
+                next.voters.retain(|member| member.node != *node);
+                next.learners.retain(|member| member.node != *node);
                 if next.voters.is_empty() {
                     return None;
                 }
@@ -112,9 +118,13 @@
         Some(next)
     }
 
-    /// The greatest value that a quorum of voters has reached.
-    pub(crate) fn reached<T: Ord + Default>(&self, value: impl Fn(NodeId) -> T) -> T {
-        let mut values: Vec<T> = self.voters.iter().map(|held| value(held.node)).collect();
+    /// Returns the greatest value that a quorum of voters has reached.
+    pub(crate) fn quorum_value<T: Ord + Default>(&self, value: impl Fn(NodeId) -> T) -> T {
+        let mut values: Vec<T> = self
+            .voters
+            .iter()
+            .map(|member| value(member.node))
+            .collect();
         values.sort_unstable_by(|a, b| b.cmp(a));
         values
             .into_iter()
--- a/crates/quay_quorum/src/memory_log.rs
+++ b/crates/quay_quorum/src/memory_log.rs
@@ -1,4 +1,4 @@
-//! Entries that a replica keeps in memory.
+//! The part of the log that a replica keeps in memory.
 
 use {
     crate::{Entry, Membership, Payload, Position, SnapshotMeta},
@@ -6,19 +6,22 @@
     std::collections::VecDeque,
 };
 
-/// The part of the log behind the latest snapshot, and a little more.
+/// Log entries after the latest snapshot, and some earlier ones retained for
+/// followers that lag.
 #[derive(Debug, Clone, Default)]
 pub struct MemoryLog {
-    /// Entry before the first one that is kept.
+    /// Position of the last compacted entry, directly before the first retained
+    /// one.
     base: Position,
-    /// Contiguous from `base` on; terms never fall.
+    /// Contiguous entries after `base`; terms never decrease.
     entries: VecDeque<Entry>,
-    /// Members by the entry that set them; the first is in force at `base`.
+    /// Memberships with the index of the entry that set each; the first one is
+    /// in force at `base`.
     members: Vec<(LogIndex, Membership)>,
 }
 
 impl MemoryLog {
-    /// The log behind a snapshot.
+    /// Creates the log of the entries that follow a snapshot.
     pub fn new(meta: SnapshotMeta, entries: impl IntoIterator<Item = Entry>) -> Self {
         let mut log = Self {
             base: meta.position,
@@ -31,30 +34,31 @@
         log
     }
 
-    /// The entry before the first one that is kept.
+    /// Position of the last compacted entry.
     pub const fn base(&self) -> Position {
         self.base
     }
 
-    /// The last entry.
+    /// Position of the last entry, or `base` if there are no entries.
     pub fn last(&self) -> Position {
         self.entries
             .back()
             .map_or(self.base, |entry| entry.position)
     }
 
-    /// Where an index stands in `entries`.
-    fn slot(&self, index: LogIndex) -> Option<usize> {
+    /// Offset of a log index in `entries`.
+    fn offset(&self, index: LogIndex) -> Option<usize> {
         let offset = index.0.checked_sub(self.base.index.0 + 1)?;
         usize::try_from(offset).ok()
     }
 
-    /// The entry at an index.
+    /// Returns the entry at an index, if retained.
     pub fn get(&self, index: LogIndex) -> Option<&Entry> {
-        self.entries.get(self.slot(index)?)
+        self.entries.get(self.offset(index)?)
     }
 
-    /// The term at an index; `None` if the entry is not kept or not there.
+    /// Returns the term at an index; `None` if the entry is compacted or beyond
+    /// the end of the log.
     pub fn term(&self, index: LogIndex) -> Option<Epoch> {
         if index == self.base.index {
             return Some(self.base.term);
@@ -62,16 +66,16 @@
         self.get(index).map(|entry| entry.position.term)
     }
 
-    /// Adds the next entry.
+    /// Appends the next entry.
     pub fn push(&mut self, entry: Entry) {
         let last = self.last();
         assert!(
             entry.index().0 == last.index.0 + 1,
-            "entries are contiguous"
+            "log entries must be contiguous"
         );
         assert!(
             entry.position.term >= last.term,
-            "terms never fall in a log"
+            "terms must not decrease within a log"
         );
         if let Payload::Members(members) = &entry.payload {
             self.members.push((entry.index(), members.clone()));
@@ -79,16 +83,18 @@
         self.entries.push_back(entry);
     }
 
-    /// Drops the entries from an index on.
+    /// Removes all entries from an index on.
     pub fn truncate(&mut self, from: LogIndex) {
-        if let Some(slot) = self.slot(from) {
-            self.entries.truncate(slot);
+        if let Some(offset) = self.offset(from) {
+            self.entries.truncate(offset);
         }
         self.members
             .retain(|(index, _)| *index < from || *index <= self.base.index);
     }
 
-    /// Entries after `after` up to `through`, at most `bytes` but at least one.
+    /// Copies the entries after `after` up to and including `through`, limited
+    /// to `bytes` bytes in total. The first entry is returned whatever its
+    /// size.
     pub fn range(&self, after: LogIndex, through: LogIndex, bytes: usize) -> Vec<Entry> {
         let mut taken = Vec::new();
         let mut size = 0;
@@ -105,7 +111,8 @@
         taken
     }
 
-    /// First index of the run of equal terms that `index` is in.
+    /// Returns the first retained index of the run of entries with the same
+    /// term as `index`.
     pub fn first_of_term(&self, index: LogIndex) -> LogIndex {
         let term = self.term(index);
         let mut first = index;
@@ -115,19 +122,24 @@
         first
     }
 
-    /// Latest members, committed or not, and the entry that set them.
+    /// Returns the latest membership, committed or not, and the index of the
+    /// entry that set it.
     pub fn members(&self) -> (LogIndex, &Membership) {
         let (index, members) = &self.members[self.members.len() - 1];
         (*index, members)
     }
 
-    /// Members in force at an index.
+    /// Returns the membership in force at an index.
     pub fn members_at(&self, index: LogIndex) -> &Membership {
-        let held = self.members.iter().rev().find(|(at, _)| *at <= index);
-        &held.unwrap_or(&self.members[0]).1
+        let latest = self
+            .members
+            .iter()
+            .rev()
+            .find(|(set_at, _)| *set_at <= index);
+        &latest.unwrap_or(&self.members[0]).1
     }
 
-    /// Forgets the entries up to `through`.
+    /// Removes the entries up to and including `through`.
     pub fn compact(&mut self, through: LogIndex) {
         let Some(term) = self.term(through) else {
             return;
--- a/crates/quay_quorum/src/message.rs
+++ b/crates/quay_quorum/src/message.rs
@@ -6,16 +6,17 @@
     serde::{Deserialize, Serialize},
 };
 
-/// How a follower took entries.
+/// Result of a [`Message::Append`] or [`Message::Snapshot`] at the follower.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum AppendOutcome {
-    /// The log is saved and equal to the leader's up to this index.
+    /// The follower's log is persisted and equal to the leader's up to this
+    /// index.
     Matched(LogIndex),
-    /// The entry before the new ones is another or missing.
+    /// The follower's entry before the new ones is missing or has another term.
     Rejected {
         /// Index of the entry before the new ones.
         prev: LogIndex,
-        /// The logs may be equal up to here; not after it.
+        /// Last index up to which the logs may be equal.
         hint: LogIndex,
     },
 }
@@ -23,74 +24,78 @@
 /// A message between two replicas.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks whether a vote would be granted; changes nothing at the receiver.
+    /// Asks whether a vote would be granted; does not change the receiver's
+    /// state.
     PreVote {
-        /// Term that the sender would campaign in.
+        /// Term in which the sender would campaign.
         term: Epoch,
-        /// Last entry of the sender.
+        /// Position of the sender's last entry.
         last: Position,
     },
     /// Answer to [`Message::PreVote`].
     PreVoteReply {
-        /// The term that was asked for; if refused, the receiver's own.
+        /// Requested term if the vote would be granted, otherwise the current
+        /// term of the replying replica.
         term: Epoch,
         /// Whether the vote would be granted.
         granted: bool,
     },
-    /// Asks for a vote.
+    /// Requests a vote.
     Vote {
         /// Term of the candidate.
         term: Epoch,
-        /// Last entry of the candidate.
+        /// Position of the candidate's last entry.
         last: Position,
     },
-    /// Answer to [`Message::Vote`], sent once the vote is saved.
+    /// Answer to [`Message::Vote`], sent once the vote is persisted.
     VoteReply {
         /// Term of the voter.
         term: Epoch,
-        /// Whether the vote is given.
+        /// Whether the vote is granted.
         granted: bool,
     },
     /// Entries from the leader.
     Append {
         /// Term of the leader.
         term: Epoch,
-        /// Entry before the new ones.
+        /// Position of the entry before the new ones.
         prev: Position,
-        /// New entries, in order.
+        /// New entries, in index order; may be empty.
         entries: Vec<Entry>,
-        /// Last entry that the leader knows as committed.
+        /// Commit index of the leader.
         commit: LogIndex,
     },
     /// Answer to [`Message::Append`] and [`Message::Snapshot`], sent once the
-    /// entries are saved.
+    /// entries or the snapshot are persisted.
     AppendReply {
         /// Term of the follower.
         term: Epoch,
-        /// How it took the entries.
+        /// Result of the append.
         outcome: AppendOutcome,
     },
-    /// The leader is alive.
+    /// Periodic message that asserts leadership.
     Heartbeat {
         /// Term of the leader.
         term: Epoch,
-        /// Last committed entry that the receiver is known to hold.
+        /// Index of the last committed entry that the receiver is known to
+        /// have.
         commit: LogIndex,
-        /// Number that the answer repeats; confirms reads.
+        /// Heartbeat round, repeated in the answer to confirm reads.
         round: u64,
     },
     /// Answer to [`Message::Heartbeat`].
     HeartbeatReply {
         /// Term of the follower.
         term: Epoch,
-        /// Number of the heartbeat.
+        /// Round of the heartbeat that is answered.
         round: u64,
     },
-    /// State for a follower that lacks entries which are no longer kept.
+    /// Snapshot for a follower that lacks entries which the leader has
+    /// compacted.
     Snapshot {
         /// Term of the leader.
         term: Epoch,
-        /// What the snapshot stands for.
+        /// Position and membership that the snapshot covers.
         meta: SnapshotMeta,
         /// The encoded state.
         #[serde(with = "quay_types::bytes")]
@@ -99,7 +104,8 @@
 }
 
 impl Message {
-    /// Term of the sender, or the term that a pre-vote is about.
+    /// Term of the sender; for pre-vote messages, the term of the prospective
+    /// election or, in a refusal, of the sender.
     #[must_use]
     pub const fn term(&self) -> Epoch {
         match self {
--- a/crates/quay_quorum/src/placement.rs
+++ b/crates/quay_quorum/src/placement.rs
@@ -1,22 +1,24 @@
-//! Advice on where the voters of a group should be.
+//! Warnings about the distribution of a group's voters.
 
 use {crate::Membership, indexmap::IndexMap, std::fmt};
 
-/// Voters that survive the loss of any one host.
-const LEAST_VOTERS: usize = 3;
+/// Smallest number of voters that keeps a quorum after the loss of any one
+/// host.
+const MIN_VOTERS: usize = 3;
 
-/// Why the places of the voters are a risk.
+/// A risk in the distribution of the voters.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PlacementAdvice {
-    /// The loss of one host loses the quorum.
+    /// The loss of one host loses the quorum. Holds the number of voters.
     TooFew(usize),
-    /// An even number of voters bears no more losses than one voter fewer.
+    /// An even number of voters tolerates no more failures than one voter
+    /// fewer. Holds the number of voters.
     EvenVoters(usize),
     /// The loss of this data centre loses the quorum.
     Concentrated {
-        /// The data centre.
+        /// Name of the data centre.
         data_centre: Box<str>,
-        /// Voters there.
+        /// Number of voters in the data centre.
         voters: usize,
     },
 }
@@ -24,9 +26,12 @@
 impl fmt::Display for PlacementAdvice {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::TooFew(voters) => write!(f, "{voters} voters do not survive a lost host"),
+            Self::TooFew(voters) => write!(f, "{voters} voters do not tolerate the loss of a host"),
             Self::EvenVoters(voters) => {
-                write!(f, "{voters} voters bear no more losses than one fewer")
+                write!(
+                    f,
+                    "{voters} voters tolerate no more failures than one voter fewer"
+                )
             }
             Self::Concentrated {
                 data_centre,
@@ -34,20 +39,21 @@
             } => {
                 write!(
                     f,
-                    "{voters} voters are in data centre {data_centre}, whose loss loses the quorum"
+                    "{voters} voters are in data centre {data_centre}, so its loss loses the quorum"
                 )
             }
         }
     }
 }
 
-/// Checks the places of the voters. A replica that waits to be made a learner
-/// knows none, and gets no advice.
+/// Checks the distribution of the voters over hosts and data centres. Returns
+/// nothing for a replica that has not joined a group yet, since its membership
+/// is empty.
 #[must_use]
 pub fn placement_advice(members: &Membership) -> Vec<PlacementAdvice> {
     let voters = members.voters.len();
     let mut advice = Vec::new();
-    if (1..LEAST_VOTERS).contains(&voters) {
+    if (1..MIN_VOTERS).contains(&voters) {
         advice.push(PlacementAdvice::TooFew(voters));
     }
     if voters > 0 && voters.is_multiple_of(2) {
@@ -58,7 +64,7 @@
         *centres.entry(&member.data_centre).or_default() += 1;
     }
     let spare = voters.saturating_sub(members.quorum());
-    let concentrated = centres.into_iter().filter(|(_, held)| *held > spare);
+    let concentrated = centres.into_iter().filter(|(_, count)| *count > spare);
     advice.extend(
         concentrated.map(|(data_centre, voters)| PlacementAdvice::Concentrated {
             data_centre: data_centre.into(),
--- a/crates/quay_quorum/src/progress.rs
+++ b/crates/quay_quorum/src/progress.rs
@@ -1,55 +1,57 @@
-//! What a leader knows of one peer.
+//! Replication progress of one peer, tracked by the leader.
 
 use quay_types::{LogIndex, Time};
 
-/// How entries are sent to a peer.
+/// Mode in which entries are sent to a peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Sending {
-    /// One message at a time, until the logs are known to meet.
+    /// One message at a time, until the position at which the logs match is
+    /// known.
     Probe,
-    /// Many messages at a time.
+    /// Several messages in flight.
     Pipeline,
-    /// A snapshot was sent at the given time.
+    /// A snapshot was sent at the given time and is not acknowledged yet.
     Snapshot(Time),
 }
 
-/// What a leader knows of one peer.
+/// Replication progress of one peer.
 #[derive(Debug, Clone)]
 pub struct Progress {
-    /// Last entry known to be saved there. Only rises within a term.
+    /// Last entry known to be persisted at the peer. Never decreases within a
+    /// term.
     pub matched: LogIndex,
-    /// Next entry to send; above `matched`.
+    /// Next entry to send; always greater than `matched`.
     pub next: LogIndex,
-    /// Messages with entries that are unanswered.
-    pub unanswered: u32,
-    /// When entries were last sent or answered.
-    pub moved: Time,
-    /// When the peer last answered.
-    pub heard: Time,
-    /// Latest round that the peer answered.
+    /// Number of append messages that are not acknowledged yet.
+    pub in_flight: u32,
+    /// Time at which entries were last sent or acknowledged.
+    pub last_activity: Time,
+    /// Time at which the peer last answered any message.
+    pub last_heard: Time,
+    /// Latest heartbeat round that the peer answered.
     pub round: u64,
-    /// How entries are sent.
+    /// Mode in which entries are sent.
     pub sending: Sending,
 }
 
 impl Progress {
-    /// Progress of a peer that nothing is known of.
+    /// Creates the progress of a peer whose log is not known yet.
     pub const fn new(next: LogIndex, now: Time) -> Self {
         Self {
             matched: LogIndex(0),
             next,
-            unanswered: 0,
-            moved: now,
-            heard: now,
+            in_flight: 0,
+            last_activity: now,
+            last_heard: now,
             round: 0,
             sending: Sending::Probe,
         }
     }
 
-    /// Takes an answer that the peer holds entries up to `index`.
+    /// Records that the peer has persisted the entries up to `index`.
     pub fn matched(&mut self, index: LogIndex, now: Time) {
-        self.unanswered = self.unanswered.saturating_sub(1);
-        self.moved = now;
+        self.in_flight = self.in_flight.saturating_sub(1);
+        self.last_activity = now;
         if index >= self.matched {
             self.matched = index;
             self.next = self.next.max(LogIndex(index.0 + 1));
@@ -57,19 +59,20 @@
         }
     }
 
-    /// Takes an answer that the entry at `prev` is not there.
+    /// Handles a rejection: the peer's log does not match at `prev`.
     pub fn rejected(&mut self, prev: LogIndex, hint: LogIndex) {
-        // An honest peer never rejects what it matched: the answer is late.
+        // A peer never rejects an entry that it has acknowledged, so this
+        // answer is outdated.
         if prev <= self.matched {
             return;
         }
         self.restart_from(LogIndex(prev.0.min(hint.0 + 1)));
     }
 
-    /// Sends again from `next` on, one message at a time.
+    /// Restarts sending at `next`, one message at a time.
     pub fn restart_from(&mut self, next: LogIndex) {
         self.next = next.max(LogIndex(self.matched.0 + 1));
-        self.unanswered = 0;
+        self.in_flight = 0;
         self.sending = Sending::Probe;
     }
 }
--- a/crates/quay_quorum/src/replica/election.rs
+++ b/crates/quay_quorum/src/replica/election.rs
@@ -1,14 +1,14 @@
-//! Pre-votes, votes and what follows from them.
+//! Pre-votes, votes, and the role changes that follow from them.
 
 use {
-    super::{Lead, Replica, Role},
+    super::{LeaderState, Replica, Role},
     crate::{Action, Entry, Message, Mutation, Payload, Position, progress::Progress},
     quay_types::{Epoch, LogIndex, NodeId, Time},
 };
 
 impl Replica {
-    /// Takes a message.
-    pub(super) fn message(&mut self, now: Time, from: NodeId, message: Message) {
+    /// Handles a message.
+    pub(super) fn on_message(&mut self, now: Time, from: NodeId, message: Message) {
         match message {
             Message::PreVote { term, last } => self.on_pre_vote(now, from, term, last),
             Message::Vote { term, last } => self.on_vote(now, from, term, last),
@@ -17,15 +17,15 @@
             }
             other => {
                 if other.term() > self.hard_state.term {
-                    self.follow(now, other.term(), None);
+                    self.become_follower(now, other.term(), None);
                 }
-                self.current_message(now, from, other);
+                self.on_current_message(now, from, other);
             }
         }
     }
 
-    /// Takes a message of this term or an earlier one.
-    fn current_message(&mut self, now: Time, from: NodeId, message: Message) {
+    /// Handles a message of the current or an earlier term.
+    fn on_current_message(&mut self, now: Time, from: NodeId, message: Message) {
         let current = message.term() == self.hard_state.term;
         match message {
             Message::VoteReply { granted, .. } if current => self.on_vote_reply(now, from, granted),
@@ -41,29 +41,31 @@
                 commit,
                 ..
             } if current => {
-                self.hear_leader(now, from);
+                self.record_leader_contact(now, from);
                 self.on_append(from, prev, entries, commit);
             }
             Message::Heartbeat { commit, round, .. } if current => {
-                self.hear_leader(now, from);
+                self.record_leader_contact(now, from);
                 self.on_heartbeat(from, commit, round);
             }
             Message::Snapshot { meta, data, .. } if current => {
-                self.hear_leader(now, from);
+                self.record_leader_contact(now, from);
                 self.on_snapshot(from, meta, data);
             }
-            // The sender leads no longer and learns it from the term.
+            // A deposed leader sent this message: the term in the reply makes
+            // the sender step down.
             Message::Append { .. } | Message::Heartbeat { .. } | Message::Snapshot { .. } => {
                 let term = self.hard_state.term;
-                self.send_when_saved(from, Message::HeartbeatReply { term, round: 0 });
+                self.send_when_persisted(from, Message::HeartbeatReply { term, round: 0 });
             }
             _ => {}
         }
     }
 
-    /// Becomes a follower, in a later term if one is given.
-    pub(super) fn follow(&mut self, now: Time, term: Epoch, leader: Option<NodeId>) {
-        assert!(term >= self.hard_state.term, "terms never fall");
+    /// Becomes a follower and adopts `term` if it is later than the current
+    /// one.
+    pub(super) fn become_follower(&mut self, now: Time, term: Epoch, leader: Option<NodeId>) {
+        assert!(term >= self.hard_state.term, "terms must not decrease");
         if term > self.hard_state.term {
             self.hard_state.term = term;
             self.hard_state.vote = None;
@@ -71,7 +73,7 @@
         }
         if self.role == Role::Leader {
             self.out.push(Action::SteppedDown);
-            self.lead = Lead::default();
+            self.leader_state = LeaderState::default();
         }
         self.role = Role::Follower;
         self.leader = leader;
@@ -79,36 +81,39 @@
         self.reset_deadline(now);
     }
 
-    /// Takes a sign of life from the leader of this term.
-    fn hear_leader(&mut self, now: Time, from: NodeId) {
-        assert!(self.role != Role::Leader, "one leader a term");
+    /// Records contact from the leader of the current term.
+    fn record_leader_contact(&mut self, now: Time, from: NodeId) {
+        assert!(self.role != Role::Leader, "at most one leader per term");
         assert!(
             self.leader.is_none_or(|leader| leader == from),
-            "one leader a term"
+            "at most one leader per term"
         );
         if self.role != Role::Follower || self.leader.is_none() {
-            self.follow(now, self.hard_state.term, Some(from));
+            self.become_follower(now, self.hard_state.term, Some(from));
         }
-        self.leader_heard = Some(now);
+        self.last_leader_contact = Some(now);
         self.reset_deadline(now);
     }
 
-    /// Whether a leader has been heard of late, so that no other is needed.
-    fn leader_lives(&self, now: Time) -> bool {
-        let heard = |at| now.since(at) < self.cfg.election;
-        self.role == Role::Leader || (self.leader.is_some() && self.leader_heard.is_some_and(heard))
+    /// Whether this replica leads or has heard from a leader within the
+    /// election timeout.
+    fn leader_is_live(&self, now: Time) -> bool {
+        let recent = |at| now.since(at) < self.cfg.election;
+        self.role == Role::Leader
+            || (self.leader.is_some() && self.last_leader_contact.is_some_and(recent))
     }
 
-    /// Whether a candidate's log is as complete as this one.
-    fn complete(&self, last: Position) -> bool {
+    /// Whether a candidate's log is at least as up to date as this one.
+    fn is_up_to_date(&self, last: Position) -> bool {
         last >= self.log.last() || self.cfg.mutation == Mutation::IgnoreLogCompleteness
     }
 
     // -----------------------------------------------------------------------
-    // Asking
+    // Campaigning
 
-    /// Asks whether the others would vote for this replica.
-    pub(super) fn ask_for_votes(&mut self, now: Time) {
+    /// Starts a pre-vote, which asks the other voters whether they would vote
+    /// for this replica.
+    pub(super) fn start_pre_vote(&mut self, now: Time) {
         self.reset_deadline(now);
         if !self.log.members().1.is_voter(self.node) {
             return;
@@ -122,7 +127,7 @@
         self.on_pre_vote_reply(now, self.node, term, true);
     }
 
-    /// Starts a new term and asks for votes.
+    /// Starts a new term and requests votes.
     fn campaign(&mut self, now: Time) {
         self.role = Role::Candidate;
         self.votes.clear();
@@ -133,14 +138,14 @@
         let term = self.hard_state.term;
         let last = self.log.last();
         for to in self.other_voters() {
-            self.send_when_saved(to, Message::Vote { term, last });
+            self.send_when_persisted(to, Message::Vote { term, last });
         }
-        // The own vote counts once it is saved, like any other.
+        // The replica's own vote also counts only once it is persisted.
         let granted = true;
-        self.send_when_saved(self.node, Message::VoteReply { term, granted });
+        self.send_when_persisted(self.node, Message::VoteReply { term, granted });
     }
 
-    /// Voters but this replica.
+    /// Returns the voters except this replica.
     fn other_voters(&self) -> Vec<NodeId> {
         let voters = self.log.members().1.voters.iter();
         voters
@@ -149,15 +154,15 @@
             .collect()
     }
 
-    /// Sends a message to every other voter at once.
+    /// Sends a message to every other voter without waiting for a write.
     fn send_to_voters(&mut self, message: &Message) {
         for to in self.other_voters() {
             self.send(to, message.clone());
         }
     }
 
-    /// Whether the votes make a quorum.
-    fn elected(&self) -> bool {
+    /// Whether the received votes form a quorum.
+    fn has_vote_quorum(&self) -> bool {
         let members = self.log.members().1;
         let count = self
             .votes
@@ -168,11 +173,12 @@
     }
 
     // -----------------------------------------------------------------------
-    // Answering
+    // Voting
 
-    /// Answers whether a vote would be granted.
+    /// Answers a pre-vote request.
     fn on_pre_vote(&mut self, now: Time, from: NodeId, term: Epoch, last: Position) {
-        let granted = term > self.hard_state.term && self.complete(last) && !self.leader_lives(now);
+        let granted =
+            term > self.hard_state.term && self.is_up_to_date(last) && !self.leader_is_live(now);
         let term = if granted { term } else { self.hard_state.term };
         self.send(from, Message::PreVoteReply { term, granted });
     }
@@ -181,36 +187,37 @@
     fn on_pre_vote_reply(&mut self, now: Time, from: NodeId, term: Epoch, granted: bool) {
         if !granted {
             if term > self.hard_state.term {
-                self.follow(now, term, None);
+                self.become_follower(now, term, None);
             }
             return;
         }
         if self.role == Role::PreCandidate && term.0 == self.hard_state.term.0 + 1 {
             self.votes.insert(from);
-            if self.elected() {
+            if self.has_vote_quorum() {
                 self.campaign(now);
             }
         }
     }
 
-    /// Answers a request for a vote.
+    /// Answers a vote request.
     fn on_vote(&mut self, now: Time, from: NodeId, term: Epoch, last: Position) {
-        // A replica that was cut off must not depose a leader that works.
-        if self.leader_lives(now) && term > self.hard_state.term {
+        // A replica that returns from a partition must not depose a live
+        // leader.
+        if self.leader_is_live(now) && term > self.hard_state.term {
             return;
         }
         if term > self.hard_state.term {
-            self.follow(now, term, None);
+            self.become_follower(now, term, None);
         }
-        let free = self.hard_state.vote.is_none_or(|vote| vote == from);
-        let granted = term == self.hard_state.term && free && self.complete(last);
+        let may_vote = self.hard_state.vote.is_none_or(|vote| vote == from);
+        let granted = term == self.hard_state.term && may_vote && self.is_up_to_date(last);
         if granted {
             self.hard_state_changed |= self.hard_state.vote.is_none();
             self.hard_state.vote = Some(from);
             self.reset_deadline(now);
         }
         let term = self.hard_state.term;
-        self.send_when_saved(from, Message::VoteReply { term, granted });
+        self.send_when_persisted(from, Message::VoteReply { term, granted });
     }
 
     /// Counts a vote.
@@ -219,25 +226,29 @@
             return;
         }
         self.votes.insert(from);
-        if self.elected() {
+        if self.has_vote_quorum() {
             self.become_leader(now);
         }
     }
 
-    /// Leads from now on.
+    /// Becomes the leader of the current term.
     fn become_leader(&mut self, now: Time) {
-        assert!(self.role == Role::Candidate, "only a candidate is elected");
+        assert!(
+            self.role == Role::Candidate,
+            "only a candidate can become leader"
+        );
         self.role = Role::Leader;
         self.leader = Some(self.node);
         let last = self.log.last().index;
         let first = LogIndex(last.0 + 1);
-        self.lead = Lead {
+        self.leader_state = LeaderState {
             first,
             heartbeat_due: now,
-            ..Lead::default()
+            ..LeaderState::default()
         };
         self.out.push(Action::BecameLeader(self.hard_state.term));
-        // Entries of earlier terms commit with the first entry of this one.
+        // Entries of earlier terms are committed together with the first entry
+        // of this term.
         self.log.push(Entry {
             position: Position {
                 term: self.hard_state.term,
@@ -246,7 +257,7 @@
             payload: Payload::Empty,
         });
         self.sync_progress(now);
-        for progress in self.lead.progress.values_mut() {
+        for progress in self.leader_state.progress.values_mut() {
             *progress = Progress::new(first, now);
         }
     }
--- a/crates/quay_quorum/src/replica/follower.rs
+++ b/crates/quay_quorum/src/replica/follower.rs
@@ -1,4 +1,4 @@
-//! Entries, heartbeats and snapshots from the leader.
+//! Follower: handles entries, heartbeats and snapshots from the leader.
 
 use {
     super::Replica,
@@ -7,7 +7,7 @@
 };
 
 impl Replica {
-    /// Takes entries.
+    /// Appends entries from the leader and answers once they are persisted.
     pub(super) fn on_append(
         &mut self,
         from: NodeId,
@@ -15,25 +15,25 @@
         entries: Vec<Entry>,
         commit: LogIndex,
     ) {
-        let outcome = if let Some(hint) = self.meet(prev) {
+        let outcome = if let Some(hint) = self.check_match(prev) {
             AppendOutcome::Rejected {
                 prev: prev.index,
                 hint,
             }
         } else {
             let matched = LogIndex(prev.index.0 + entries.len() as u64);
-            self.take_entries(entries);
+            self.append_entries(entries);
             self.commit_to(commit.min(matched));
             AppendOutcome::Matched(matched)
         };
         let term = self.hard_state.term;
-        self.send_when_saved(from, Message::AppendReply { term, outcome });
+        self.send_when_persisted(from, Message::AppendReply { term, outcome });
     }
 
-    /// Checks that this log holds `prev`; otherwise tells up to where the logs
-    /// may be equal.
-    fn meet(&self, prev: Position) -> Option<LogIndex> {
-        // Committed entries are equal in all logs.
+    /// Checks that this log contains `prev`. Otherwise returns the last index
+    /// up to which the logs may be equal.
+    fn check_match(&self, prev: Position) -> Option<LogIndex> {
+        // Committed entries are the same in all logs.
         if prev.index <= self.commit {
             return None;
         }
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Adds the entries that are new, in place of those that differ.
-    fn take_entries(&mut self, entries: Vec<Entry>) {
+    /// Appends the new entries and replaces conflicting ones.
+    fn append_entries(&mut self, entries: Vec<Entry>) {
         for entry in entries {
             let index = entry.index();
             if index <= self.log.base().index {
@@ -63,14 +63,14 @@
         }
     }
 
-    /// Answers a heartbeat.
+    /// Adopts the commit index of a heartbeat and answers it.
     pub(super) fn on_heartbeat(&mut self, from: NodeId, commit: LogIndex, round: u64) {
         self.commit_to(commit);
         let term = self.hard_state.term;
         self.send(from, Message::HeartbeatReply { term, round });
     }
 
-    /// Takes a snapshot, if it tells anything new.
+    /// Installs a snapshot if it is ahead of the commit index.
     pub(super) fn on_snapshot(&mut self, from: NodeId, meta: SnapshotMeta, data: Box<[u8]>) {
         let index = meta.position.index;
         if index > self.commit {
@@ -78,26 +78,27 @@
         }
         let term = self.hard_state.term;
         let outcome = AppendOutcome::Matched(index);
-        self.send_when_saved(from, Message::AppendReply { term, outcome });
+        self.send_when_persisted(from, Message::AppendReply { term, outcome });
     }
 
-    /// Replaces log and state by a snapshot.
+    /// Replaces the state, and the log as far as needed, by a snapshot.
     fn restore(&mut self, meta: SnapshotMeta, data: Box<[u8]>) {
         let index = meta.position.index;
-        // Entries after an equal one may count towards a quorum: they stay.
+        // If the log contains the snapshot's last entry, later entries may
+        // count towards a quorum and must be kept.
         let keep = self.log.term(index) == Some(meta.position.term);
-        // A save of earlier entries is handed out before the snapshot.
-        self.flush_saves();
+        // Pending entries must be written before the snapshot.
+        self.flush_writes();
         if keep {
             self.log.compact(index);
         } else {
             self.truncate(LogIndex(self.commit.0 + 1));
             self.log = MemoryLog::new(meta.clone(), []);
-            self.handed = index;
+            self.write_issued = index;
         }
         self.commit = index;
         self.applied = index;
-        let persist_id = self.allocate_persist_id(self.handed);
+        let persist_id = self.allocate_persist_id(self.write_issued);
         self.out.push(Action::Restore {
             persist_id,
             meta,
--- a/crates/quay_quorum/src/replica/leader.rs
+++ b/crates/quay_quorum/src/replica/leader.rs
@@ -1,4 +1,5 @@
-//! What a leader sends and how it counts the answers.
+//! Leader: replicates entries, sends heartbeats, and advances the commit index
+//! by the answers.
 
 use {
     super::{Replica, Role},
@@ -10,19 +11,21 @@
 };
 
 impl Replica {
-    /// Keeps one progress for each other member.
+    /// Adds and removes progress records to match the other members.
     pub(super) fn sync_progress(&mut self, now: Time) {
         let members = self.log.members().1;
         let node = self.node;
         let others: Vec<NodeId> = members
             .all()
             .map(|member| member.node)
-            .filter(|held| *held != node)
+            .filter(|member| *member != node)
             .collect();
         let next = LogIndex(self.log.last().index.0 + 1);
-        self.lead.progress.retain(|held, _| others.contains(held));
-        for held in others {
-            let entry = self.lead.progress.entry(held);
+        self.leader_state
+            .progress
+            .retain(|peer, _| others.contains(peer));
+        for peer in others {
+            let entry = self.leader_state.progress.entry(peer);
             entry.or_insert_with(|| Progress::new(next, now));
         }
     }
@@ -30,27 +33,28 @@
     // -----------------------------------------------------------------------
     // Sending
 
-    /// Sends heartbeats and entries that are due.
+    /// Sends the heartbeats and entries that are due.
     pub(super) fn flush_leader(&mut self, now: Time) {
-        if self.lead.read_pending || now >= self.lead.heartbeat_due {
+        if self.leader_state.read_pending || now >= self.leader_state.heartbeat_due {
             self.send_heartbeats(now);
         }
-        let peers: Vec<NodeId> = self.lead.progress.keys().copied().collect();
+        let peers: Vec<NodeId> = self.leader_state.progress.keys().copied().collect();
         for peer in peers {
             self.send_entries(now, peer);
         }
-        // A group of one voter has its quorum at once.
+        // A single voter is a quorum by itself and receives no answers.
         self.advance_commit(now);
         self.confirm_reads();
     }
 
-    /// Starts a round: each answer confirms the reads that came before it.
+    /// Starts a heartbeat round. The answers confirm the reads that were
+    /// requested before the round.
     fn send_heartbeats(&mut self, now: Time) {
-        self.lead.round += 1;
-        self.lead.read_pending = false;
-        self.lead.heartbeat_due = now + self.cfg.heartbeat;
-        let (term, round) = (self.hard_state.term, self.lead.round);
-        for (peer, progress) in &self.lead.progress {
+        self.leader_state.round += 1;
+        self.leader_state.read_pending = false;
+        self.leader_state.heartbeat_due = now + self.cfg.heartbeat;
+        let (term, round) = (self.hard_state.term, self.leader_state.round);
+        for (peer, progress) in &self.leader_state.progress {
             let message = Message::Heartbeat {
                 term,
                 commit: self.commit.min(progress.matched),
@@ -60,12 +64,13 @@
         }
     }
 
-    /// Sends a peer what it lacks, as far as its window allows.
+    /// Sends a peer the entries or the snapshot that it lacks, within the limit
+    /// on messages in flight.
     fn send_entries(&mut self, now: Time, peer: NodeId) {
-        let Some(mut progress) = self.lead.progress.get(&peer).cloned() else {
+        let Some(mut progress) = self.leader_state.progress.get(&peer).cloned() else {
             return;
         };
-        self.renew(now, &mut progress);
+        self.restart_if_overdue(now, &mut progress);
         while self.may_send(&progress) {
             let before = LogIndex(progress.next.0 - 1);
             let Some(term) = self.log.term(before) else {
@@ -82,8 +87,8 @@
                 .log
                 .range(before, self.log.last().index, self.cfg.max_batch_bytes);
             progress.next.0 += entries.len() as u64;
-            progress.unanswered += 1;
-            progress.moved = now;
+            progress.in_flight += 1;
+            progress.last_activity = now;
             let message = Message::Append {
                 term: self.hard_state.term,
                 prev,
@@ -92,32 +97,32 @@
             };
             self.send(peer, message);
         }
-        self.lead.progress.insert(peer, progress);
+        self.leader_state.progress.insert(peer, progress);
     }
 
-    /// Starts again after messages that were not answered in time.
-    fn renew(&self, now: Time, progress: &mut Progress) {
+    /// Restarts sending if messages were not acknowledged in time.
+    fn restart_if_overdue(&self, now: Time, progress: &mut Progress) {
         let limit = match progress.sending {
             Sending::Snapshot(_) => self.cfg.snapshot_resend,
             Sending::Probe | Sending::Pipeline => self.cfg.resend,
         };
         let since = match progress.sending {
             Sending::Snapshot(at) => at,
-            Sending::Probe | Sending::Pipeline => progress.moved,
+            Sending::Probe | Sending::Pipeline => progress.last_activity,
         };
-        let waiting = progress.unanswered > 0 || matches!(progress.sending, Sending::Snapshot(_));
+        let waiting = progress.in_flight > 0 || matches!(progress.sending, Sending::Snapshot(_));
         if waiting && now.since(since) >= limit {
             progress.restart_from(LogIndex(progress.matched.0 + 1));
         }
     }
 
-    /// Whether a message with entries may be sent now.
+    /// Whether an append message may be sent now.
     fn may_send(&self, progress: &Progress) -> bool {
         match progress.sending {
-            Sending::Probe => progress.unanswered == 0,
+            Sending::Probe => progress.in_flight == 0,
             Sending::Pipeline => {
                 progress.next <= self.log.last().index
-                    && progress.unanswered < self.cfg.max_in_flight
+                    && progress.in_flight < self.cfg.max_in_flight
             }
             Sending::Snapshot(_) => false,
         }
@@ -126,19 +131,20 @@
     // -----------------------------------------------------------------------
     // Answers
 
-    /// Takes that a peer has answered.
-    fn hear(&mut self, now: Time, peer: NodeId) -> Option<&mut Progress> {
+    /// Records that a peer has answered. Returns the peer's progress, or `None`
+    /// if this replica does not lead or the peer is not a member.
+    fn record_answer(&mut self, now: Time, peer: NodeId) -> Option<&mut Progress> {
         if self.role != Role::Leader {
             return None;
         }
-        let progress = self.lead.progress.get_mut(&peer)?;
-        progress.heard = now;
+        let progress = self.leader_state.progress.get_mut(&peer)?;
+        progress.last_heard = now;
         Some(progress)
     }
 
-    /// Takes how a peer took entries.
+    /// Handles the result of an append at a peer.
     pub(super) fn on_append_reply(&mut self, now: Time, from: NodeId, outcome: AppendOutcome) {
-        let Some(progress) = self.hear(now, from) else {
+        let Some(progress) = self.record_answer(now, from) else {
             return;
         };
         match outcome {
@@ -150,29 +156,31 @@
         }
     }
 
-    /// Takes the answer to a heartbeat.
+    /// Handles the answer to a heartbeat.
     pub(super) fn on_heartbeat_reply(&mut self, now: Time, from: NodeId, round: u64) {
-        let Some(progress) = self.hear(now, from) else {
+        let Some(progress) = self.record_answer(now, from) else {
             return;
         };
         progress.round = progress.round.max(round);
         self.confirm_reads();
     }
 
-    /// Commits what a quorum has saved.
+    /// Commits the entries that a quorum has persisted. Steps down once the
+    /// removal of this replica from the group is committed.
     pub(super) fn advance_commit(&mut self, now: Time) {
         if self.role != Role::Leader {
             return;
         }
-        let index = self.log.members().1.reached(|node| {
+        let index = self.log.members().1.quorum_value(|node| {
             if node == self.node {
-                return self.saved;
+                return self.persisted_index;
             }
-            let progress = self.lead.progress.get(&node);
+            let progress = self.leader_state.progress.get(&node);
             progress.map_or(LogIndex(0), |progress| progress.matched)
         });
-        // An entry of an earlier term may still be replaced although a quorum
-        // holds it; it commits with one of this term.
+        // An entry of an earlier term can still be replaced even if a quorum
+        // has persisted it. It is committed only together with an entry of the
+        // current term.
         if self.log.term(index) != Some(self.hard_state.term) {
             return;
         }
@@ -180,17 +188,21 @@
         let removed = self.log.members().1.get(self.node).is_none();
         if removed && self.log.members().0 <= self.commit {
             let term = self.hard_state.term;
-            self.follow(now, term, None);
+            self.become_follower(now, term, None);
         }
     }
 
-    /// Answers the reads that a quorum has confirmed.
+    /// Answers the reads whose heartbeat round a quorum has confirmed.
     pub(super) fn confirm_reads(&mut self) {
         let confirmed = self.quorum_round();
-        while let Some(read) = self.lead.reads.pop_front_if(|read| read.round <= confirmed) {
+        while let Some(read) = self
+            .leader_state
+            .reads
+            .pop_front_if(|read| read.round <= confirmed)
+        {
             assert!(
                 read.index <= self.applied,
-                "a read sees all that was committed"
+                "the entries that a read must see are applied"
             );
             self.out.push(Action::ReadReady {
                 tag: read.tag,
@@ -199,13 +211,13 @@
         }
     }
 
-    /// Latest round that a quorum has answered.
+    /// Returns the latest heartbeat round that a quorum has answered.
     fn quorum_round(&self) -> u64 {
-        self.log.members().1.reached(|node| {
+        self.log.members().1.quorum_value(|node| {
             if node == self.node {
-                return self.lead.round;
+                return self.leader_state.round;
             }
-            let progress = self.lead.progress.get(&node);
+            let progress = self.leader_state.progress.get(&node);
             progress.map_or(0, |progress| progress.round)
         })
     }
@@ -213,22 +225,22 @@
     // -----------------------------------------------------------------------
     // Check-quorum
 
-    /// When a quorum was last heard.
-    pub(super) fn quorum_heard(&self, now: Time) -> Time {
-        self.log.members().1.reached(|node| {
+    /// Returns the time of the last contact with a quorum.
+    pub(super) fn last_quorum_contact(&self, now: Time) -> Time {
+        self.log.members().1.quorum_value(|node| {
             if node == self.node {
                 return now;
             }
-            let progress = self.lead.progress.get(&node);
-            progress.map_or(Time::ZERO, |progress| progress.heard)
+            let progress = self.leader_state.progress.get(&node);
+            progress.map_or(Time::ZERO, |progress| progress.last_heard)
         })
     }
 
-    /// Steps down if no quorum has answered for an election timeout.
+    /// Steps down if no quorum has answered within the election timeout.
     pub(super) fn check_quorum(&mut self, now: Time) {
-        if now.since(self.quorum_heard(now)) >= self.cfg.election {
+        if now.since(self.last_quorum_contact(now)) >= self.cfg.election {
             let term = self.hard_state.term;
-            self.follow(now, term, None);
+            self.become_follower(now, term, None);
         }
     }
 }
--- a/crates/quay_quorum/src/replica/mod.rs
+++ b/crates/quay_quorum/src/replica/mod.rs
@@ -1,4 +1,4 @@
-//! One replica of a group.
+//! The replica: role, log, pending writes and commit index.
 
 mod election;
 mod follower;
@@ -19,122 +19,128 @@
     },
 };
 
-/// What a replica does.
+/// Role of a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Role {
-    /// Takes entries from a leader.
+    /// Accepts entries from a leader.
     Follower,
-    /// Asks whether it would be elected.
+    /// Asks the other voters whether it would be elected.
     PreCandidate,
-    /// Asks for votes.
+    /// Requests votes.
     Candidate,
-    /// Proposes entries.
+    /// Appends and replicates entries.
     Leader,
 }
 
-/// What was saved before a restart.
+/// State that a replica recovers from disk.
 #[derive(Debug, Clone, Default)]
 pub struct PersistedState {
     /// Term and vote.
     pub hard_state: HardState,
-    /// The latest snapshot; the default if there is none.
+    /// Metadata of the latest snapshot; the default if there is none.
     pub meta: SnapshotMeta,
     /// Entries after the snapshot.
     pub entries: Vec<Entry>,
 }
 
-/// What a replica tells of itself.
+/// Observable state of a replica.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Status {
-    /// Identity of the replica.
+    /// Node identity of the replica.
     pub node: NodeId,
-    /// Whether it leads.
+    /// Whether the replica is the leader.
     pub leads: bool,
-    /// The leader, if known.
+    /// Leader of the current term, if known.
     pub leader: Option<NodeId>,
-    /// Its term.
+    /// Current term.
     pub term: Epoch,
-    /// Last entry known as committed.
+    /// Commit index.
     pub commit: LogIndex,
-    /// Last entry.
+    /// Position of the last log entry.
     pub last: Position,
-    /// Latest members.
+    /// Latest membership, committed or not.
     pub members: Membership,
 }
 
-/// A message that waits for a save.
+/// A message that may be sent only after a write is synced.
 #[derive(Debug, Clone)]
-struct Held {
+struct HeldMessage {
     persist_id: PersistId,
     to: NodeId,
     message: Message,
 }
 
-/// A read that waits for a quorum.
+/// A read that waits for confirmation by a quorum.
 #[derive(Debug, Clone, Copy)]
-struct OpenRead {
+struct PendingRead {
     tag: u64,
     index: LogIndex,
     round: u64,
 }
 
-/// What only a leader keeps.
+/// State that only a leader has.
 #[derive(Debug, Clone, Default)]
-struct Lead {
-    /// Every other member.
+struct LeaderState {
+    /// Progress of every other member.
     progress: IndexMap<NodeId, Progress>,
-    /// First entry of the term; what is committed is known once it is.
+    /// First entry of the leader's term. The leader knows the commit index only
+    /// once this entry is committed.
     first: LogIndex,
-    /// Number of the latest heartbeat.
+    /// Latest heartbeat round.
     round: u64,
-    /// Reads that wait, in the order of their rounds.
-    reads: VecDeque<OpenRead>,
-    /// Whether a read waits for the next heartbeat.
+    /// Unconfirmed reads, in the order of their heartbeat rounds.
+    reads: VecDeque<PendingRead>,
+    /// Whether a read needs a new heartbeat round.
     read_pending: bool,
-    /// When the next heartbeat is due.
+    /// Time at which the next heartbeat is due.
     heartbeat_due: Time,
 }
 
 /// One replica of a group, as a state machine without I/O.
 ///
-/// `step` takes inputs; `flush` must follow a batch of them and returns what is
-/// to be saved and sent for the whole batch. Violations of the rules that hold
-/// a group together are assertions: a replica that meets one must not go on.
+/// `step` handles one input. After a batch of inputs, `flush` must be called;
+/// it returns the writes and messages of the whole batch. Protocol invariants
+/// are assertions, since a replica that detects a violation must not continue.
 #[derive(Debug, Clone)]
 pub struct Replica {
     node: NodeId,
     cfg: Settings,
     hard_state: HardState,
-    /// Whether `hard_state` is to be saved.
+    /// Whether `hard_state` must be written.
     hard_state_changed: bool,
     log: MemoryLog,
     role: Role,
     leader: Option<NodeId>,
-    /// When the leader was last heard; `None` after a restart.
-    leader_heard: Option<Time>,
+    /// Time of the last contact from a leader; `None` until the first contact
+    /// after a start.
+    last_leader_contact: Option<Time>,
     votes: IndexSet<NodeId>,
-    lead: Lead,
-    /// Last committed entry; only rises.
+    leader_state: LeaderState,
+    /// Commit index; never decreases.
     commit: LogIndex,
-    /// Last entry handed out to be applied; at most `commit`.
+    /// Index of the last entry handed out to be applied; at most `commit`.
     applied: LogIndex,
-    /// Last entry handed out to be saved.
-    handed: LogIndex,
-    /// Last entry that is saved; at most `handed`.
-    saved: LogIndex,
+    /// Index of the last entry handed out to be written.
+    write_issued: LogIndex,
+    /// Index of the last entry that is synced; at most `write_issued`.
+    persisted_index: LogIndex,
     next_persist_id: PersistId,
     last_persisted_id: PersistId,
-    /// Saves that are under way, with the last entry that each covers.
-    saving: VecDeque<(PersistId, LogIndex)>,
-    held: VecDeque<Held>,
-    /// When an election starts unless a leader is heard.
+    /// Writes in progress, with the index of the last entry that each covers.
+    pending_writes: VecDeque<(PersistId, LogIndex)>,
+    /// Messages that wait for a write, in the order of the writes.
+    held: VecDeque<HeldMessage>,
+    /// Time at which a pre-vote starts unless a leader is heard from.
     deadline: Time,
+    /// State of the random number generator for election timeouts.
     random: u64,
+    /// Actions that `step` or `flush` returns next.
     out: Vec<Action>,
 }
 
 impl Replica {
-    /// A replica of a new group. Every first member must name the same members.
+    /// Creates a replica of a new group. Every initial member must be given the
+    /// same membership.
     #[must_use]
     pub fn bootstrap(
         node: NodeId,
@@ -154,13 +160,13 @@
         Self::restart(node, restart, cfg, seed, now)
     }
 
-    /// A replica that knows no group yet and waits to be made a learner.
+    /// Creates a replica without a group, which waits to be added as a learner.
     #[must_use]
     pub fn empty(node: NodeId, cfg: Settings, seed: u64, now: Time) -> Self {
         Self::restart(node, PersistedState::default(), cfg, seed, now)
     }
 
-    /// A replica with what it saved before.
+    /// Creates a replica from its persisted state.
     #[must_use]
     pub fn restart(
         node: NodeId,
@@ -180,16 +186,16 @@
             log,
             role: Role::Follower,
             leader: None,
-            leader_heard: None,
+            last_leader_contact: None,
             votes: IndexSet::new(),
-            lead: Lead::default(),
+            leader_state: LeaderState::default(),
             commit: start,
             applied: start,
-            handed: last,
-            saved: last,
+            write_issued: last,
+            persisted_index: last,
             next_persist_id: PersistId(1),
             last_persisted_id: PersistId(0),
-            saving: VecDeque::new(),
+            pending_writes: VecDeque::new(),
             held: VecDeque::new(),
             deadline: now,
             random: seed,
@@ -199,7 +205,7 @@
         replica
     }
 
-    /// What the replica tells of itself.
+    /// Returns the observable state of the replica.
     #[must_use]
     pub fn status(&self) -> Status {
         Status {
@@ -213,46 +219,54 @@
         }
     }
 
-    /// Whether the replica leads.
+    /// Whether the replica is the leader.
     #[must_use]
     pub fn is_leader(&self) -> bool {
         self.role == Role::Leader
     }
 
-    /// Term of the replica.
+    /// Current term of the replica.
     #[must_use]
     pub const fn term(&self) -> Epoch {
         self.hard_state.term
     }
 
-    /// Last entry known as committed.
+    /// Commit index of the replica.
     #[must_use]
     pub const fn commit(&self) -> LogIndex {
         self.commit
     }
 
-    /// When the replica starts an election unless it hears a leader.
+    /// Time at which the replica starts a pre-vote unless it hears from a
+    /// leader.
     #[must_use]
     pub const fn deadline(&self) -> Time {
         self.deadline
     }
 
-    /// The entry at an index, while it is kept.
+    /// Returns the entry at an index, if it is retained in memory.
     #[must_use]
     pub fn entry(&self, index: LogIndex) -> Option<&Entry> {
         self.log.get(index)
     }
 
-    /// Entry before the first one that is kept.
+    /// Position of the last compacted entry, directly before the first retained
+    /// one.
     #[must_use]
     pub const fn compacted_through(&self) -> Position {
         self.log.base()
     }
 
-    /// Hashes all that decides what the replica does next, but for the time.
-    pub(crate) fn shape(&self, state: &mut impl Hasher) {
+    /// Hashes the state that determines the replica's next steps, except times.
+    pub(crate) fn hash_state(&self, state: &mut impl Hasher) {
         (self.hard_state, self.hard_state_changed, self.role as u8).hash(state);
-        (self.leader, self.commit, self.handed, self.saved).hash(state);
+        (
+            self.leader,
+            self.commit,
+            self.write_issued,
+            self.persisted_index,
+        )
+            .hash(state);
         (
             self.next_persist_id,
             self.last_persisted_id,
@@ -266,13 +280,13 @@
         for held in &self.held {
             (held.persist_id, held.to, &held.message).hash(state);
         }
-        for (peer, progress) in &self.lead.progress {
+        for (peer, progress) in &self.leader_state.progress {
             (peer, progress.matched, progress.next, progress.round).hash(state);
         }
     }
 
-    /// What a snapshot of the state after `index` stands for; `None` if that
-    /// entry is not applied or no longer kept.
+    /// Returns the metadata of a snapshot of the state after `index`; `None` if
+    /// that entry is not applied yet or is compacted.
     #[must_use]
     pub fn snapshot_meta(&self, index: LogIndex) -> Option<SnapshotMeta> {
         if index > self.applied {
@@ -285,78 +299,79 @@
         })
     }
 
-    /// Takes one input.
+    /// Handles one input and returns the actions that do not wait for `flush`.
     pub fn step(&mut self, now: Time, input: Input) -> Vec<Action> {
         match input {
-            Input::Tick => self.tick(now),
-            Input::Message { from, message } => self.message(now, from, message),
+            Input::Tick => self.on_tick(now),
+            Input::Message { from, message } => self.on_message(now, from, message),
             Input::Propose { tag, command } => self.propose(now, tag, command),
             Input::Read { tag } => self.read(now, tag),
             Input::ChangeMembership { tag, change } => self.change(now, tag, &change),
-            Input::Persisted(persist_id) => self.persisted(now, persist_id),
-            Input::SnapshotSaved(index) => self.compacted(index),
+            Input::Persisted(persist_id) => self.on_persisted(now, persist_id),
+            Input::SnapshotSaved(index) => self.on_snapshot_saved(index),
         }
         mem::take(&mut self.out)
     }
 
-    /// Hands out what a batch of inputs asks to save and to send.
+    /// Returns the writes and messages that result from the inputs since the
+    /// last call.
     pub fn flush(&mut self, now: Time) -> Vec<Action> {
-        self.flush_saves();
+        self.flush_writes();
         if self.role == Role::Leader {
             self.flush_leader(now);
         }
         mem::take(&mut self.out)
     }
 
-    /// Does what is due.
-    fn tick(&mut self, now: Time) {
+    /// Checks the quorum as leader, or the election timeout otherwise.
+    fn on_tick(&mut self, now: Time) {
         if self.role == Role::Leader {
             self.check_quorum(now);
         } else if now >= self.deadline {
-            self.ask_for_votes(now);
+            self.start_pre_vote(now);
         }
     }
 
     // -----------------------------------------------------------------------
-    // Saves
+    // Persistence
 
-    /// Whether something is to be saved that was not handed out.
-    fn unsaved(&self) -> bool {
-        self.hard_state_changed || self.handed < self.log.last().index
+    /// Whether there is state to write that was not handed out yet.
+    fn has_unwritten_state(&self) -> bool {
+        self.hard_state_changed || self.write_issued < self.log.last().index
     }
 
-    /// Hands out the next save.
-    fn flush_saves(&mut self) {
-        if !self.unsaved() {
+    /// Hands out the next write, if there is anything to write.
+    fn flush_writes(&mut self) {
+        if !self.has_unwritten_state() {
             return;
         }
         let last = self.log.last().index;
         let persist = Persist {
             id: self.allocate_persist_id(last),
             hard_state: mem::take(&mut self.hard_state_changed).then_some(self.hard_state),
-            entries: self.log.range(self.handed, last, usize::MAX),
+            entries: self.log.range(self.write_issued, last, usize::MAX),
         };
-        self.handed = last;
+        self.write_issued = last;
         self.out.push(Action::Persist(persist));
     }
 
-    /// The identifier of a save that covers entries up to `last`.
+    /// Allocates the identifier of a write that covers entries up to `last`.
     fn allocate_persist_id(&mut self, last: LogIndex) -> PersistId {
         let persist_id = self.next_persist_id;
         self.next_persist_id.0 += 1;
-        self.saving.push_back((persist_id, last));
+        self.pending_writes.push_back((persist_id, last));
         persist_id
     }
 
-    /// Sends a message once all that it rests on is saved.
-    fn send_when_saved(&mut self, to: NodeId, message: Message) {
-        // What is not handed out yet goes with the next save.
-        let persist_id = PersistId(self.next_persist_id.0 - u64::from(!self.unsaved()));
-        let early = self.cfg.mutation == Mutation::ReplyBeforePersist && to != self.node;
-        if persist_id <= self.last_persisted_id || early {
+    /// Sends a message once all state that it depends on is persisted.
+    fn send_when_persisted(&mut self, to: NodeId, message: Message) {
+        // State that was not handed out yet is part of the next write.
+        let persist_id = PersistId(self.next_persist_id.0 - u64::from(!self.has_unwritten_state()));
+        let skip_wait = self.cfg.mutation == Mutation::ReplyBeforePersist && to != self.node;
+        if persist_id <= self.last_persisted_id || skip_wait {
             self.send(to, message);
         } else {
-            self.held.push_back(Held {
+            self.held.push_back(HeldMessage {
                 persist_id,
                 to,
                 message,
@@ -364,16 +379,20 @@
         }
     }
 
-    /// Takes that a save and all before it are synced.
-    fn persisted(&mut self, now: Time, persist_id: PersistId) {
+    /// Handles the completion of a write and all earlier writes.
+    fn on_persisted(&mut self, now: Time, persist_id: PersistId) {
         self.last_persisted_id = self.last_persisted_id.max(persist_id);
-        while let Some((_, last)) = self.saving.pop_front_if(|(done, _)| *done <= persist_id) {
-            self.saved = last;
+        while let Some((_, last)) = self
+            .pending_writes
+            .pop_front_if(|(id, _)| *id <= persist_id)
+        {
+            self.persisted_index = last;
         }
         while let Some(held) = self.held.pop_front_if(|held| held.persist_id <= persist_id) {
-            // What was promised in an earlier term no longer holds.
+            // Votes and acknowledgements of an earlier term are no longer
+            // valid.
             if held.message.term() == self.hard_state.term {
-                self.send_or_take(now, held.to, held.message);
+                self.send_or_handle(now, held.to, held.message);
             }
         }
         if self.role == Role::Leader {
@@ -381,34 +400,36 @@
         }
     }
 
-    /// Sends a message, or takes it if it is for this replica.
-    fn send_or_take(&mut self, now: Time, to: NodeId, message: Message) {
+    /// Sends a message, or handles it directly if it is addressed to this
+    /// replica.
+    fn send_or_handle(&mut self, now: Time, to: NodeId, message: Message) {
         if to == self.node {
-            self.message(now, to, message);
+            self.on_message(now, to, message);
         } else {
             self.send(to, message);
         }
     }
 
-    /// Sends a message.
+    /// Queues a message to be sent.
     fn send(&mut self, to: NodeId, message: Message) {
         self.out.push(Action::Send { to, message });
     }
 
-    /// Drops entries that another leader has replaced.
+    /// Removes the entries from an index on, which another leader has replaced.
     fn truncate(&mut self, from: LogIndex) {
-        assert!(from > self.commit, "a committed entry is never dropped");
+        assert!(from > self.commit, "a committed entry must not be removed");
         self.log.truncate(from);
         let last = LogIndex(from.0 - 1);
-        self.handed = self.handed.min(last);
-        self.saved = self.saved.min(last);
-        for (_, covers) in &mut self.saving {
-            *covers = (*covers).min(last);
+        self.write_issued = self.write_issued.min(last);
+        self.persisted_index = self.persisted_index.min(last);
+        for (_, last_covered) in &mut self.pending_writes {
+            *last_covered = (*last_covered).min(last);
         }
     }
 
-    /// Forgets entries that a snapshot covers, but for a few.
-    fn compacted(&mut self, index: LogIndex) {
+    /// Compacts the entries that a snapshot covers, except the last
+    /// `Settings::keep_entries`.
+    fn on_snapshot_saved(&mut self, index: LogIndex) {
         let through = LogIndex(index.0.saturating_sub(self.cfg.keep_entries));
         if through > self.log.base().index && index <= self.applied {
             self.log.compact(through);
@@ -418,43 +439,45 @@
     // -----------------------------------------------------------------------
     // Commit
 
-    /// Takes that entries up to `index` are committed and hands them out.
+    /// Advances the commit index and hands out the committed entries to be
+    /// applied.
     fn commit_to(&mut self, index: LogIndex) {
         if index <= self.commit {
             return;
         }
         assert!(
             index <= self.log.last().index,
-            "only entries that are held commit"
+            "an entry must be in the log to be committed"
         );
         self.commit = index;
         let entries = self.log.range(self.applied, index, usize::MAX);
         let first = entries.first().map(Entry::index);
         assert!(
             first == Some(LogIndex(self.applied.0 + 1)),
-            "entries are applied in order"
+            "entries must be applied in order"
         );
         self.applied = index;
         self.out.push(Action::Apply(entries));
     }
 
     // -----------------------------------------------------------------------
-    // Time
+    // Timers
 
-    /// Draws the time of the next election.
+    /// Draws the next election deadline at random.
     fn reset_deadline(&mut self, now: Time) {
-        // SplitMix64: the seed is all that the draw depends on.
+        // SplitMix64: the result depends only on the seed and the number of
+        // earlier draws.
         self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.random;
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         mixed ^= mixed >> 31;
-        let least = match self.leader_heard {
+        let min_timeout = match self.last_leader_contact {
             None => self.cfg.startup_election,
             Some(_) => self.cfg.election,
         };
-        let span = u64::try_from(least.as_micros()).unwrap_or(u64::MAX);
+        let span = u64::try_from(min_timeout.as_micros()).unwrap_or(u64::MAX);
         let extra = Time::from_micros(mixed % span.max(1));
-        self.deadline = now + least + extra.since(Time::ZERO);
+        self.deadline = now + min_timeout + extra.since(Time::ZERO);
     }
 }
--- a/crates/quay_quorum/src/replica/requests.rs
+++ b/crates/quay_quorum/src/replica/requests.rs
@@ -1,28 +1,29 @@
-//! Proposals, reads and changes of members.
+//! Client requests: proposals, reads and membership changes.
 
 use {
-    super::{OpenRead, Replica, Role},
+    super::{PendingRead, Replica, Role},
     crate::{Action, Entry, MembershipChange, Mutation, Payload, Position, Refusal},
     quay_types::{LogIndex, NodeId, Time},
 };
 
 impl Replica {
-    /// Why a request can't be taken now, if so.
+    /// Returns the reason to refuse any request now, or `None` if requests are
+    /// accepted.
     fn refusal(&self, now: Time) -> Option<Refusal> {
         if self.role != Role::Leader {
             return Some(Refusal::NotLeader(self.leader));
         }
-        let silent = now.since(self.quorum_heard(now)) >= self.cfg.quorum_timeout;
-        silent.then_some(Refusal::NoQuorum)
+        let quorum_lost = now.since(self.last_quorum_contact(now)) >= self.cfg.quorum_timeout;
+        quorum_lost.then_some(Refusal::NoQuorum)
     }
 
-    /// Refuses a request.
+    /// Answers a request with a refusal.
     fn refuse(&mut self, tag: u64, refusal: Refusal) {
         self.out.push(Action::Refused { tag, refusal });
     }
 
-    /// Adds an entry of this term and tells its place.
-    fn add(&mut self, tag: u64, payload: Payload) {
+    /// Appends an entry of the current term and reports its position.
+    fn append(&mut self, tag: u64, payload: Payload) {
         let position = Position {
             term: self.hard_state.term,
             index: LogIndex(self.log.last().index.0 + 1),
@@ -35,33 +36,36 @@
         });
     }
 
-    /// Takes a command.
+    /// Proposes a command.
     pub(super) fn propose(&mut self, now: Time, tag: u64, command: Box<[u8]>) {
         match self.refusal(now) {
             Some(refusal) => self.refuse(tag, refusal),
-            None => self.add(tag, Payload::Command(command)),
+            None => self.append(tag, Payload::Command(command)),
         }
     }
 
-    /// Takes a read: it is answered once a quorum has shown after this moment
-    /// that it knows no later leader.
+    /// Queues a linearizable read. The read is answered once a quorum has
+    /// answered a heartbeat sent after the request, which shows that no later
+    /// leader had been elected.
     pub(super) fn read(&mut self, now: Time, tag: u64) {
         if let Some(refusal) = self.refusal(now) {
             return self.refuse(tag, refusal);
         }
-        if self.commit < self.lead.first {
+        if self.commit < self.leader_state.first {
             return self.refuse(tag, Refusal::NotReady);
         }
         let index = self.commit;
         if self.cfg.mutation == Mutation::ReadWithoutQuorum {
             return self.out.push(Action::ReadReady { tag, index });
         }
-        let round = self.lead.round + 1;
-        self.lead.reads.push_back(OpenRead { tag, index, round });
-        self.lead.read_pending = true;
+        let round = self.leader_state.round + 1;
+        self.leader_state
+            .reads
+            .push_back(PendingRead { tag, index, round });
+        self.leader_state.read_pending = true;
     }
 
-    /// Takes a change of the members.
+    /// Proposes a membership change.
     pub(super) fn change(&mut self, now: Time, tag: u64, change: &MembershipChange) {
         if let Some(refusal) = self
             .refusal(now)
@@ -71,18 +75,20 @@
         }
         match self.log.members().1.with_change(change) {
             Some(members) => {
-                self.add(tag, Payload::Members(members));
+                self.append(tag, Payload::Members(members));
                 self.sync_progress(now);
             }
             None => self.refuse(tag, Refusal::InvalidChange),
         }
     }
 
-    /// Why a change can't be taken now, if so.
+    /// Returns the reason to refuse a membership change now, or `None` if the
+    /// change may be proposed.
     fn change_refusal(&self, now: Time, change: &MembershipChange) -> Option<Refusal> {
-        // The latest members must be committed, by an entry of this term:
-        // otherwise two leaders could change the same members.
-        if self.commit < self.lead.first {
+        // The latest membership must be committed, and an entry of the current
+        // term too: otherwise two leaders could each change the same
+        // membership.
+        if self.commit < self.leader_state.first {
             return Some(Refusal::NotReady);
         }
         if self.log.members().0 > self.commit {
@@ -96,11 +102,16 @@
         }
     }
 
-    /// Whether a learner answers and holds nearly every entry.
+    /// Whether a learner is reachable and lacks at most
+    /// `Settings::max_promotion_lag` entries.
     fn caught_up(&self, now: Time, node: NodeId) -> bool {
-        self.lead.progress.get(&node).is_some_and(|progress| {
-            let lag = self.log.last().index.0.saturating_sub(progress.matched.0);
-            lag <= self.cfg.max_promotion_lag && now.since(progress.heard) < self.cfg.election
-        })
+        self.leader_state
+            .progress
+            .get(&node)
+            .is_some_and(|progress| {
+                let lag = self.log.last().index.0.saturating_sub(progress.matched.0);
+                lag <= self.cfg.max_promotion_lag
+                    && now.since(progress.last_heard) < self.cfg.election
+            })
     }
 }
--- a/crates/quay_quorum/src/settings.rs
+++ b/crates/quay_quorum/src/settings.rs
@@ -1,50 +1,54 @@
-//! Times and limits of a replica.
+//! Timeouts and limits of a replica.
 
 use std::time::Duration;
 
-/// A decision that is wrong on purpose, so that a test can show that the
-/// checks see it.
+/// A deliberate protocol error, with which tests show that the safety checks
+/// detect it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Mutation {
-    /// Every decision is right.
+    /// Correct protocol.
     #[default]
     None,
-    /// Answers before entries and votes are saved.
+    /// Replies before entries and votes are persisted.
     ReplyBeforePersist,
-    /// Answers reads without asking a quorum.
+    /// Answers reads without confirmation by a quorum.
     ReadWithoutQuorum,
-    /// Grants votes to candidates with less complete logs.
+    /// Grants votes to candidates whose logs are less up to date.
     IgnoreLogCompleteness,
 }
 
-/// Times and limits of a replica.
+/// Timeouts and limits of a replica.
 #[derive(Debug, Clone, Copy)]
 pub struct Settings {
-    /// Interval between two heartbeats of a leader.
+    /// Interval between heartbeats of a leader.
     pub heartbeat: Duration,
-    /// Least time without a leader after which a replica asks for votes; the
-    /// actual time is drawn between this and twice this. A leader that hears no
-    /// quorum for so long steps down.
+    /// Minimum election timeout: the actual time without a leader after which a
+    /// replica starts a pre-vote is drawn between this and twice this value. A
+    /// leader that hears from no quorum for this long steps down.
     pub election: Duration,
-    /// The same for a replica that has heard no leader since it started. Shorter:
-    /// the pre-vote keeps it from disturbing one that lives, and after a restart
-    /// of all nobody has one.
+    /// Minimum election timeout of a replica that has not heard from a leader
+    /// since it started. May be shorter: the pre-vote prevents the replica from
+    /// disturbing a live leader, and after a restart of all replicas there is
+    /// no leader to wait for.
     pub startup_election: Duration,
-    /// A leader that has heard no quorum for so long refuses new work.
+    /// Time without contact to a quorum after which a leader refuses new
+    /// requests.
     pub quorum_timeout: Duration,
-    /// Time after which unanswered entries are sent again.
+    /// Time after which unacknowledged entries are sent again.
     pub resend: Duration,
-    /// Time after which an unanswered snapshot is sent again.
+    /// Time after which an unacknowledged snapshot is sent again.
     pub snapshot_resend: Duration,
-    /// Bytes of entries in one message.
+    /// Maximum size of the entries in one message, in bytes. A larger single
+    /// entry is sent alone.
     pub max_batch_bytes: usize,
-    /// Messages with entries that may be unanswered by one peer.
+    /// Maximum number of unacknowledged append messages per peer.
     pub max_in_flight: u32,
-    /// Entries that stay in memory behind a snapshot, for peers that lag a little.
+    /// Number of entries covered by a snapshot that stay in memory, so that
+    /// peers that lag slightly need no snapshot.
     pub keep_entries: u64,
-    /// Entries that a learner may lack when it is promoted.
+    /// Maximum number of entries that a learner may lack when it is promoted.
     pub max_promotion_lag: u64,
-    /// A wrong decision, for tests of the checks only.
+    /// Deliberate protocol error; only for tests of the safety checks.
     pub mutation: Mutation,
 }
 
@@ -53,7 +57,7 @@
         Self {
             heartbeat: Duration::from_millis(100),
             election: Duration::from_millis(500),
-            // Longer than a vote takes, with its sync.
+            // Longer than the round trip of a vote including its disk sync.
             startup_election: Duration::from_millis(150),
             quorum_timeout: Duration::from_millis(350),
             resend: Duration::from_millis(300),
--- a/crates/quay_quorum/tests/random_run.rs
+++ b/crates/quay_quorum/tests/random_run.rs
@@ -1,4 +1,5 @@
-//! Seeded runs under faults, and proof that they see broken decisions.
+//! Seeded simulations with fault injection, and tests that the safety checks
+//! detect deliberate protocol errors.
 
 use {
     quay_quorum::{
@@ -8,21 +9,21 @@
     std::panic::{AssertUnwindSafe, catch_unwind},
 };
 
-/// Steps of one run.
+/// Number of steps of one run.
 const STEPS: u64 = 30_000;
 
 fn run(seed: u64, cfg: SimulationSettings) -> Report {
     Simulation::new(cfg, seed)
         .run(STEPS)
-        .unwrap_or_else(|broken| panic!("seed {seed}: {broken}"))
+        .unwrap_or_else(|violation| panic!("seed {seed}: {violation}"))
 }
 
 #[test]
-fn no_rule_is_broken_under_faults() {
+fn safety_holds_under_faults() {
     for seed in 0..6 {
         let report = run(seed, SimulationSettings::default());
         println!("seed {seed}: {report:?}");
-        // Each fault must have been brought about, or the run shows nothing.
+        // A run without requests, elections or faults would prove nothing.
         assert!(report.acknowledged > 100, "{report:?}");
         assert!(report.reads > 20, "{report:?}");
         assert!(report.elections > 5, "{report:?}");
@@ -31,7 +32,7 @@
 }
 
 #[test]
-fn lost_disks_are_replaced_and_snapshots_taken() {
+fn lost_hosts_are_replaced_and_snapshots_installed() {
     let reports: Vec<Report> = (20..24)
         .map(|seed| {
             run(
@@ -43,13 +44,13 @@
             )
         })
         .collect();
-    let repairs: u64 = reports.iter().map(|report| report.replaced_hosts).sum();
-    let restores: u64 = reports
+    let replaced_hosts: u64 = reports.iter().map(|report| report.replaced_hosts).sum();
+    let snapshots_installed: u64 = reports
         .iter()
         .map(|report| report.snapshots_installed)
         .sum();
-    assert!(repairs >= 4, "{reports:?}");
-    assert!(restores >= 4, "{reports:?}");
+    assert!(replaced_hosts >= 4, "{reports:?}");
+    assert!(snapshots_installed >= 4, "{reports:?}");
 }
 
 #[test]
@@ -58,28 +59,29 @@
     assert_eq!(run(3, cfg), run(3, cfg));
 }
 
-/// Whether any of a few runs with a broken decision is caught.
-fn caught(mutation: Mutation) -> bool {
+/// Whether at least one of several runs with a protocol error is detected, by a
+/// safety violation or by a failed assertion of a replica.
+fn detected(mutation: Mutation) -> bool {
     (0..8).any(|seed| {
         let mut cfg = SimulationSettings::default();
         cfg.replica.mutation = mutation;
-        let ran = catch_unwind(AssertUnwindSafe(|| Simulation::new(cfg, seed).run(STEPS)));
-        !matches!(ran, Ok(Ok(_)))
+        let result = catch_unwind(AssertUnwindSafe(|| Simulation::new(cfg, seed).run(STEPS)));
+        !matches!(result, Ok(Ok(_)))
     })
 }
 
 #[test]
-fn broken_decisions_are_caught() {
-    assert!(!caught(Mutation::None));
-    assert!(caught(Mutation::ReplyBeforePersist));
-    assert!(caught(Mutation::ReadWithoutQuorum));
-    assert!(caught(Mutation::IgnoreLogCompleteness));
+fn protocol_errors_are_detected() {
+    assert!(!detected(Mutation::None));
+    assert!(detected(Mutation::ReplyBeforePersist));
+    assert!(detected(Mutation::ReadWithoutQuorum));
+    assert!(detected(Mutation::IgnoreLogCompleteness));
 }
 
 #[test]
-fn every_order_of_events_holds_the_rules_to_a_depth() {
+fn safety_holds_for_every_order_of_events_up_to_a_depth() {
     let exploration =
-        quay_quorum::check::explore(Settings::default(), 5, 20_000).expect("rules hold");
+        quay_quorum::check::explore(Settings::default(), 5, 20_000).expect("no safety violation");
     println!("{exploration:?}");
     assert!(exploration.states > 3_000, "{exploration:?}");
     assert!(exploration.commits >= 1, "{exploration:?}");
--- a/crates/quay_quorum/tests/replica.rs
+++ b/crates/quay_quorum/tests/replica.rs
@@ -1,4 +1,4 @@
-//! Single decisions of a replica.
+//! Unit tests of single decisions of a replica.
 
 use {
     quay_quorum::{
@@ -14,11 +14,11 @@
     Member::new(NodeId(node), addr, data_centre)
 }
 
-fn three() -> Membership {
+fn three_voters() -> Membership {
     Membership::from_voters([member(1, "a"), member(2, "b"), member(3, "c")])
 }
 
-/// Gives an input and carries out every save at once.
+/// Passes an input to a replica and completes every requested write at once.
 fn step(replica: &mut Replica, now: Time, input: Input) -> Vec<Action> {
     let mut actions = replica.step(now, input);
     actions.extend(replica.flush(now));
@@ -42,9 +42,15 @@
     }
 }
 
-/// Replica 1 of three as the leader of term 1.
+/// Creates replica 1 of three and makes it the leader of term 1.
 fn leader() -> (Replica, Time) {
-    let mut replica = Replica::bootstrap(NodeId(1), three(), Settings::default(), 1, Time::ZERO);
+    let mut replica = Replica::bootstrap(
+        NodeId(1),
+        three_voters(),
+        Settings::default(),
+        1,
+        Time::ZERO,
+    );
     let now = replica.deadline();
     step(&mut replica, now, Input::Tick);
     let (term, granted) = (Epoch(1), true);
@@ -71,7 +77,7 @@
 }
 
 #[test]
-fn a_leader_cut_off_refuses_work_and_then_steps_down() {
+fn a_partitioned_leader_refuses_requests_and_then_steps_down() {
     let (mut replica, now) = leader();
     let cfg = Settings::default();
     let command = || Input::Propose {
@@ -94,8 +100,14 @@
 }
 
 #[test]
-fn nothing_is_answered_before_it_is_saved() {
-    let mut replica = Replica::bootstrap(NodeId(2), three(), Settings::default(), 1, Time::ZERO);
+fn a_vote_is_sent_only_after_it_is_persisted() {
+    let mut replica = Replica::bootstrap(
+        NodeId(2),
+        three_voters(),
+        Settings::default(),
+        1,
+        Time::ZERO,
+    );
     let vote = Message::Vote {
         term: Epoch(1),
         last: Position::default(),
@@ -115,8 +127,14 @@
 }
 
 #[test]
-fn a_vote_is_given_once_a_term() {
-    let mut replica = Replica::bootstrap(NodeId(2), three(), Settings::default(), 1, Time::ZERO);
+fn a_replica_votes_for_one_candidate_per_term() {
+    let mut replica = Replica::bootstrap(
+        NodeId(2),
+        three_voters(),
+        Settings::default(),
+        1,
+        Time::ZERO,
+    );
     let ask = |from| {
         let last = Position::default();
         message(
@@ -142,13 +160,19 @@
     assert!(!granted(&step(&mut replica, Time::ZERO, ask(3))));
     assert!(
         granted(&step(&mut replica, Time::ZERO, ask(1))),
-        "a resend gets the same answer"
+        "a repeated vote request gets the same answer"
     );
 }
 
 #[test]
 fn a_follower_of_a_live_leader_ignores_candidates() {
-    let mut replica = Replica::bootstrap(NodeId(2), three(), Settings::default(), 1, Time::ZERO);
+    let mut replica = Replica::bootstrap(
+        NodeId(2),
+        three_voters(),
+        Settings::default(),
+        1,
+        Time::ZERO,
+    );
     let (term, commit, round) = (Epoch(1), LogIndex(0), 1);
     step(
         &mut replica,
@@ -182,7 +206,7 @@
 }
 
 #[test]
-fn members_change_one_at_a_time() {
+fn membership_changes_one_at_a_time() {
     let (mut replica, now) = leader();
     let add = |node| Input::ChangeMembership {
         tag: 1,
@@ -224,8 +248,8 @@
 }
 
 #[test]
-fn placement_names_what_a_lost_data_centre_takes_along() {
-    assert_eq!(placement_advice(&three()), []);
+fn placement_advice_names_the_data_centre_whose_loss_loses_the_quorum() {
+    assert_eq!(placement_advice(&three_voters()), []);
     assert_eq!(placement_advice(&Membership::default()), []);
     let two_in_one = Membership::from_voters([member(1, "a"), member(2, "a"), member(3, "b")]);
     let data_centre = "a".into();
