--- a/crates/quay_quorum/src/check/explore.rs
+++ b/crates/quay_quorum/src/check/explore.rs
@@ -118,9 +118,9 @@
             events.push(Event::Propose(*node));
         }
     }
-    for slot in 0..simulation.in_transit.len() {
-        events.push(Event::Deliver(slot));
-        events.push(Event::Lose(slot));
+    for index in 0..simulation.in_transit.len() {
+        events.push(Event::Deliver(index));
+        events.push(Event::Lose(index));
     }
     events
 }
@@ -134,12 +134,12 @@
             }
             simulation.input(node, Input::Tick)
         }
-        Event::Deliver(slot) => {
-            let packet = simulation.in_transit.remove(slot);
+        Event::Deliver(index) => {
+            let packet = simulation.in_transit.remove(index);
             simulation.deliver(packet)
         }
-        Event::Lose(slot) => {
-            simulation.in_transit.remove(slot);
+        Event::Lose(index) => {
+            simulation.in_transit.remove(index);
             Ok(())
         }
         Event::Sync(node) => simulation.sync(node, usize::MAX),
--- a/crates/quay_quorum/src/check/faults.rs
+++ b/crates/quay_quorum/src/check/faults.rs
@@ -7,7 +7,7 @@
         check::{
             host::Host,
             safety_checker::Violation,
-            simulation::{Simulation, clock_rate, member},
+            simulation::{Simulation, draw_clock_rate, member},
         },
     },
     quay_types::{NodeId, Time},
@@ -198,7 +198,7 @@
         let new = NodeId(self.faults.last_node);
         let seed = self.rng.next_u64();
         let replica = Replica::empty(new, self.cfg.replica, seed, self.now);
-        let rate = clock_rate(&mut self.rng, self.cfg);
+        let rate = draw_clock_rate(&mut self.rng, self.cfg);
         self.hosts.insert(new, Host::new(replica, rate));
         self.faults.replacement = Some(Replacement { lost: node, new });
     }
--- a/crates/quay_quorum/src/check/simulation.rs
+++ b/crates/quay_quorum/src/check/simulation.rs
@@ -130,7 +130,7 @@
 }
 
 /// Draws the rate of a host's clock, in thousandths of the true rate.
-pub(crate) fn clock_rate(rng: &mut ChaCha8Rng, cfg: SimulationSettings) -> u64 {
+pub(crate) fn draw_clock_rate(rng: &mut ChaCha8Rng, cfg: SimulationSettings) -> u64 {
     1_000 - cfg.clock_error + rng.next_u64() % (2 * cfg.clock_error + 1)
 }
 
@@ -146,7 +146,7 @@
             .map(|node| {
                 let members = members.clone();
                 let replica = Replica::bootstrap(node, members, cfg.replica, rng.next_u64(), now);
-                (node, Host::new(replica, clock_rate(&mut rng, cfg)))
+                (node, Host::new(replica, draw_clock_rate(&mut rng, cfg)))
             })
             .collect();
         Self {
@@ -199,8 +199,8 @@
     /// Draws one of the hosts.
     pub(crate) fn draw_node(&mut self) -> NodeId {
         let count = self.hosts.len() as u64;
-        let slot = usize::try_from(self.draw(count)).unwrap_or_default();
-        self.hosts.keys()[slot]
+        let index = usize::try_from(self.draw(count)).unwrap_or_default();
+        self.hosts.keys()[index]
     }
 
     /// Returns true with a probability of `permille` thousandths.
--- a/crates/quay_quorum/src/progress.rs
+++ b/crates/quay_quorum/src/progress.rs
@@ -49,7 +49,7 @@
     }
 
     /// Records that the peer has persisted the entries up to `index`.
-    pub fn matched(&mut self, index: LogIndex, now: Time) {
+    pub fn record_match(&mut self, index: LogIndex, now: Time) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.last_activity = now;
         if index >= self.matched {
@@ -60,7 +60,7 @@
     }
 
     /// Handles a rejection: the peer's log does not match at `prev`.
-    pub fn rejected(&mut self, prev: LogIndex, hint: LogIndex) {
+    pub fn handle_rejection(&mut self, prev: LogIndex, hint: LogIndex) {
         // A peer never rejects an entry that it has acknowledged, so this
         // answer is outdated.
         if prev <= self.matched {
--- a/crates/quay_quorum/src/replica/leader.rs
+++ b/crates/quay_quorum/src/replica/leader.rs
@@ -149,10 +149,10 @@
         };
         match outcome {
             AppendOutcome::Matched(index) => {
-                progress.matched(index, now);
+                progress.record_match(index, now);
                 self.advance_commit(now);
             }
-            AppendOutcome::Rejected { prev, hint } => progress.rejected(prev, hint),
+            AppendOutcome::Rejected { prev, hint } => progress.handle_rejection(prev, hint),
         }
     }
 
@@ -202,7 +202,7 @@
         {
             assert!(
                 read.index <= self.applied,
-                "the entries that a read must see are applied"
+                "entries up to the read index must be applied"
             );
             self.out.push(Action::ReadReady {
                 tag: read.tag,
--- a/crates/quay_quorum/src/replica/mod.rs
+++ b/crates/quay_quorum/src/replica/mod.rs
@@ -129,7 +129,7 @@
     /// Writes in progress, with the index of the last entry that each covers.
     pending_writes: VecDeque<(PersistId, LogIndex)>,
     /// Messages that wait for a write, in the order of the writes.
-    held: VecDeque<HeldMessage>,
+    held_messages: VecDeque<HeldMessage>,
     /// Time at which a pre-vote starts unless a leader is heard from.
     deadline: Time,
     /// State of the random number generator for election timeouts.
@@ -196,7 +196,7 @@
             next_persist_id: PersistId(1),
             last_persisted_id: PersistId(0),
             pending_writes: VecDeque::new(),
-            held: VecDeque::new(),
+            held_messages: VecDeque::new(),
             deadline: now,
             random: seed,
             out: Vec::new(),
@@ -277,7 +277,7 @@
             .log
             .range(self.log.base().index, self.log.last().index, usize::MAX);
         entries.hash(state);
-        for held in &self.held {
+        for held in &self.held_messages {
             (held.persist_id, held.to, &held.message).hash(state);
         }
         for (peer, progress) in &self.leader_state.progress {
@@ -371,7 +371,7 @@
         if persist_id <= self.last_persisted_id || skip_wait {
             self.send(to, message);
         } else {
-            self.held.push_back(HeldMessage {
+            self.held_messages.push_back(HeldMessage {
                 persist_id,
                 to,
                 message,
@@ -388,7 +388,10 @@
         {
             self.persisted_index = last;
         }
-        while let Some(held) = self.held.pop_front_if(|held| held.persist_id <= persist_id) {
+        while let Some(held) = self
+            .held_messages
+            .pop_front_if(|held| held.persist_id <= persist_id)
+        {
             // Votes and acknowledgements of an earlier term are no longer
             // valid.
             if held.message.term() == self.hard_state.term {
--- a/crates/quay_quorum/src/replica/requests.rs
+++ b/crates/quay_quorum/src/replica/requests.rs
@@ -46,7 +46,7 @@
 
     /// Queues a linearizable read. The read is answered once a quorum has
     /// answered a heartbeat sent after the request, which shows that no later
-    /// leader had been elected.
+    /// leader had been elected when the read was requested.
     pub(super) fn read(&mut self, now: Time, tag: u64) {
         if let Some(refusal) = self.refusal(now) {
             return self.refuse(tag, refusal);
