--- a/crates/quay_experiment/src/capacity/policy.rs
+++ b/crates/quay_experiment/src/capacity/policy.rs
@@ -3,8 +3,8 @@
 use {
     crate::capacity::{Slope, slope::least_us},
     quay_policy::{
-        Admission, AdmitSettings, ExpectedTime, FixedLimit, RouteRequest, RouteSettings, Router,
-        Ticket, TicketId, Verdict,
+        Admission, AdmissionSettings, ExpectedTime, FixedLimit, RouteRequest, RouteSettings,
+        Router, Ticket, TicketId, Verdict,
     },
     quay_types::{
         AccountId, Announcement, CallTarget, Incarnation, Load, ModelId, ProgramId, Time, Tokens,
@@ -44,7 +44,7 @@
                 ..Load::default()
             },
         };
-        router.announced(Time::ZERO, &announcement);
+        router.apply_announcement(Time::ZERO, &announcement);
     }
     router
 }
@@ -60,8 +60,8 @@
             let req = RouteRequest {
                 target: CallTarget::Model(ModelId(0)),
                 program: ProgramId::root(turn % 64),
-                under_way: true,
-                lines: &[],
+                has_history: true,
+                conversations: &[],
                 prompt: Tokens(BLOCKS * 64),
                 blocks: &blocks,
                 tried: &[],
@@ -82,24 +82,24 @@
 
 /// Time of one admission: a call enters, one ends, one starts.
 fn admit(queued: u32) -> f64 {
-    let mut admission = Admission::<FixedLimit>::new(AdmitSettings {
+    let mut admission = Admission::<FixedLimit>::new(AdmissionSettings {
         shed_new_after: Duration::ZERO,
         max_queued: 4_000,
-        ..AdmitSettings::default()
+        ..AdmissionSettings::default()
     });
     let mut id = 0;
     let mut running: VecDeque<TicketId> = VecDeque::new();
     while admission.queued() < usize::try_from(queued).unwrap_or_default() {
         id += 1;
-        admission.enter(Time::ZERO, ticket(id));
+        admission.enqueue(Time::ZERO, ticket(id));
         running.extend(admitted(&admission.poll(Time::ZERO)));
     }
     least_us(TIMED, || {
         for _ in 0..TIMED {
             id += 1;
-            admission.enter(Time::ZERO, ticket(id));
+            admission.enqueue(Time::ZERO, ticket(id));
             if let Some(ended) = running.pop_front() {
-                admission.leave(Time::ZERO, ended);
+                admission.finish(Time::ZERO, ended);
             }
             running.extend(admitted(&admission.poll(Time::ZERO)));
         }
--- a/crates/quay_experiment/src/faults/release.rs
+++ b/crates/quay_experiment/src/faults/release.rs
@@ -144,7 +144,7 @@
         self.apply(Op::End(program, AccountId(1)));
         self.ended.insert(program, self.now);
         if self.now >= self.cut_until && chance(rng, 500) {
-            let action = self.retention.ended(program);
+            let action = self.retention.program_ended(program);
             self.act(action);
         }
     }
@@ -152,7 +152,7 @@
     /// A call of a program starts on the upstream.
     fn call(&mut self, slot: usize, rng: &mut ChaCha8Rng) {
         let program = self.open[slot];
-        let actions = self.retention.started(self.now, program);
+        let actions = self.retention.call_started(self.now, program);
         self.act(actions);
         let ends = self.now + draw_ms(rng, 5_000);
         let held = self.upstream.entry(program).or_default();
@@ -171,7 +171,7 @@
         for program in finished {
             // A finished call leaves its blocks in the upstream's cache.
             self.upstream.entry(program).or_default().blocks = true;
-            let action = self.retention.paused(now, program);
+            let action = self.retention.call_ended(now, program);
             self.act(action);
         }
         let actions = self.retention.tick(now);
@@ -198,7 +198,7 @@
                         held.exported = false;
                     }
                 }
-                RetentionAction::AskEnded(programs) => self.sweep(programs),
+                RetentionAction::QueryEnded(programs) => self.sweep(programs),
             }
         }
     }
@@ -213,7 +213,7 @@
             return;
         };
         for program in ended {
-            let action = self.retention.ended(program);
+            let action = self.retention.program_ended(program);
             self.act(action);
         }
     }
--- a/crates/quay_experiment/src/policy/calls.rs
+++ b/crates/quay_experiment/src/policy/calls.rs
@@ -8,7 +8,7 @@
         world::{Event, World},
     },
     quay_policy::{
-        Leave, Policy, RouteRequest, SuspectCommand, SuspectReply, Ticket, TicketId, Verdict,
+        Clearance, Policy, RouteRequest, SuspectCommand, SuspectReply, Ticket, TicketId, Verdict,
     },
     quay_standin::model::{Job, JobId},
     quay_types::{CallTarget, ContentDigest, Error, Incarnation, Time, Tokens, UpstreamId},
@@ -101,7 +101,7 @@
             offers: 0,
             digest,
         };
-        self.budgets.first(spec.account, MODEL.0);
+        self.budgets.record_first_attempt(spec.account, MODEL.0);
         self.calls.push(call);
         self.send(self.calls.len() - 1);
     }
@@ -159,7 +159,7 @@
         state.ended = true;
         for at in std::mem::take(&mut state.upstreams) {
             let id = self.specs[program].id;
-            if let Some(action) = self.upstreams[at].retention.ended(id) {
+            if let Some(action) = self.upstreams[at].retention.program_ended(id) {
                 self.retain(at, &action);
             }
         }
@@ -220,8 +220,8 @@
         let req = RouteRequest {
             target: CallTarget::Model(MODEL),
             program: spec.id,
-            under_way: true,
-            lines: &[],
+            has_history: true,
+            conversations: &[],
             prompt: Tokens(open.prompt.into()),
             blocks: &open.blocks[..open.blocks.len().min((open.prompt / BLOCK_TOKENS) as usize)],
             tried: &open.tried,
@@ -229,20 +229,20 @@
         let Some(choice) = self.entries[open.entry].pick(now, &req, draw / entries) else {
             return self.come_back(call, COME_BACK);
         };
-        open.held = choice.held;
+        open.held = choice.cached_blocks;
         let at = self
             .upstreams
             .iter()
             .position(|upstream| upstream.id == choice.upstream);
-        let leave = self.leave_to_run(call, choice.upstream);
-        self.calls[call].alone = leave == Leave::Alone;
+        let leave = self.request_clearance(call, choice.upstream);
+        self.calls[call].alone = leave == Clearance::Exclusive;
         match leave {
-            Leave::Quarantined(_) => self.come_back(call, COME_BACK_QUARANTINED),
-            Leave::Wait => {
-                self.entries[self.calls[call].entry].ended(now, choice.upstream);
+            Clearance::Quarantined(_) => self.come_back(call, COME_BACK_QUARANTINED),
+            Clearance::Wait => {
+                self.entries[self.calls[call].entry].record_end(now, choice.upstream);
                 self.after(SUSPECT_RETRY, Event::Send(call));
             }
-            Leave::Free | Leave::OnlySuspect | Leave::Alone => {
+            Clearance::Unrestricted | Clearance::OnlySuspect | Clearance::Exclusive => {
                 self.calls[call].upstream = at;
                 self.after(HOP, Event::Deliver(call));
             }
@@ -259,13 +259,13 @@
         let state = &self.states[open.program];
         let under_way = state.attained > 0 || self.specs[open.program].depth > 0;
         let holder = &mut self.slices[entry];
-        if holder.needs_slice(self.now, account) {
-            let (id, wanted) = (entry as u64, holder.wanted(account));
+        if holder.needs_lease(self.now, account) {
+            let (id, wanted) = (entry as u64, holder.demand(account));
             let limit = self.cfg.account_calls;
-            let grant = self.grantor.ask(self.now, account, id, wanted, limit);
-            holder.granted(account, grant);
+            let lease = self.allocator.lease(self.now, account, id, wanted, limit);
+            holder.set_lease(account, lease);
         }
-        let may = holder.enter(self.now, account, under_way);
+        let may = holder.begin_call(self.now, account, under_way);
         self.calls[call].counted_at = may.then_some(entry);
         may
     }
@@ -274,24 +274,24 @@
     fn uncount_call(&mut self, call: usize) {
         if let Some(entry) = self.calls[call].counted_at.take() {
             let account = self.specs[self.calls[call].program].account;
-            self.slices[entry].leave(account);
+            self.slices[entry].end_call(account);
         }
     }
 
     /// Asks for leave if the request is a suspect.
-    fn leave_to_run(&mut self, call: usize, upstream: UpstreamId) -> Leave {
+    fn request_clearance(&mut self, call: usize, upstream: UpstreamId) -> Clearance {
         let digest = self.calls[call].digest;
         if !self.suspects.is_suspect(digest) {
-            return Leave::Free;
+            return Clearance::Unrestricted;
         }
-        let ask = SuspectCommand::Ask {
+        let ask = SuspectCommand::RequestClearance {
             at: self.now,
             digest,
             upstream,
         };
         match self.suspects.apply(&ask) {
-            SuspectReply::Leave(leave) => leave,
-            SuspectReply::Done => Leave::Free,
+            SuspectReply::Clearance(leave) => leave,
+            SuspectReply::Done => Clearance::Unrestricted,
         }
     }
 
@@ -331,10 +331,10 @@
             depth: spec.depth,
             prompt: Tokens(open.prompt.into()),
             deadline: spec.deadline,
-            alone: open.alone,
+            exclusive: open.alone,
         };
         self.upstreams[at].backlog += open.missing;
-        self.upstreams[at].gate.enter(self.now, ticket);
+        self.upstreams[at].gate.enqueue(self.now, ticket);
         self.poll_gate(at);
     }
 
@@ -366,11 +366,11 @@
         if !self.states[program].upstreams.contains(&at) {
             self.states[program].upstreams.push(at);
         }
-        for action in self.upstreams[at].retention.started(self.now, id) {
+        for action in self.upstreams[at].retention.call_started(self.now, id) {
             self.retain(at, &action);
         }
         if !self.upstreams[at].engine.submit(self.now, job) {
-            self.upstreams[at].gate.leave(self.now, ticket_id(call));
+            self.upstreams[at].gate.finish(self.now, ticket_id(call));
             return self.lost(call);
         }
         self.drive(at);
@@ -395,7 +395,7 @@
         open.running = false;
         let upstream = &mut self.upstreams[at];
         upstream.backlog -= std::mem::take(&mut open.missing);
-        self.entries[open.entry].ended(self.now, upstream.id);
+        self.entries[open.entry].record_end(self.now, upstream.id);
     }
 
     // -----------------------------------------------------------------------
@@ -413,7 +413,7 @@
         self.seen.extend(open.blocks.iter().copied());
         let id = self.upstreams[at].id;
         let held = cached / BLOCK_TOKENS;
-        self.entries[open.entry].found(id, &open.blocks, held, open.held);
+        self.entries[open.entry].record_cached(id, &open.blocks, held, open.held);
     }
 
     pub(super) fn call_token(&mut self, job: JobId, at: Time) {
@@ -443,8 +443,8 @@
         self.uncount_call(call);
         let program = self.calls[call].program;
         let id = self.specs[program].id;
-        self.upstreams[at].gate.leave(self.now, ticket_id(call));
-        if let Some(action) = self.upstreams[at].retention.paused(self.now, id) {
+        self.upstreams[at].gate.finish(self.now, ticket_id(call));
+        if let Some(action) = self.upstreams[at].retention.call_ended(self.now, id) {
             self.retain(at, &action);
         }
         self.turn_done(program);
@@ -467,7 +467,7 @@
         let upstream = &mut self.upstreams[at];
         upstream.crashes += 1;
         upstream.gate.drain();
-        upstream.retention.lost();
+        upstream.retention.clear();
         upstream.exports.clear();
         upstream.exported.clear();
         if self.cfg.quarantine {
@@ -482,7 +482,7 @@
             self.suspects.apply(&command);
         }
         for call in calls {
-            self.upstreams[at].gate.leave(self.now, ticket_id(*call));
+            self.upstreams[at].gate.finish(self.now, ticket_id(*call));
             self.lost(*call);
         }
         self.poll_gate(at);
@@ -497,7 +497,7 @@
                 self.calls[call].upstream = None;
                 self.calls[call].last_token = None;
                 self.upstreams[at].engine.cancel(self.now, job_id(call));
-                self.upstreams[at].gate.leave(self.now, ticket_id(call));
+                self.upstreams[at].gate.finish(self.now, ticket_id(call));
                 self.after(SILENCE, Event::Send(call));
             }
         }
@@ -513,7 +513,7 @@
         }
         self.calls[call].last_token = None;
         let account = self.specs[self.calls[call].program].account;
-        if self.budgets.retry(account, MODEL.0) {
+        if self.budgets.try_retry(account, MODEL.0) {
             self.after(HOP, Event::Send(call));
         } else {
             self.come_back(call, COME_BACK);
--- a/crates/quay_experiment/src/policy/policies.rs
+++ b/crates/quay_experiment/src/policy/policies.rs
@@ -3,8 +3,8 @@
 use {
     super::{scenario::Scenario, stats::Stats, world::World},
     quay_policy::{
-        AdmitSettings, ExpectedTime, FixedLimit, LearnedLimit, LeastLoad, LongestPrefix, Policy,
-        PolicySettings, RetentionSettings, RetrySettings, RouteSettings,
+        AdaptiveLimit, AdmissionSettings, ExpectedTime, FixedLimit, LeastLoad, LongestPrefix,
+        Policy, PolicySettings, RetentionSettings, RetrySettings, RouteSettings,
     },
     std::time::Duration,
 };
@@ -48,68 +48,68 @@
     /// The baseline with the usual cure for wasted cache.
     ArrivalLongestPrefix => "arrival order + prefix affinity", LongestPrefix, FixedLimit, baseline();
     /// Every part.
-    Full => "the policy", ExpectedTime, LearnedLimit, PolicySettings::default();
+    Full => "the policy", ExpectedTime, AdaptiveLimit, PolicySettings::default();
     /// Upstreams are chosen with no regard to what they hold.
-    NoPrefix => "less prefix", ExpectedTime, LearnedLimit, route(RouteSettings {
+    NoPrefix => "less prefix", ExpectedTime, AdaptiveLimit, route(RouteSettings {
         prefix_weight: 0,
         prefix_per_running: 0,
         home_weight: 0,
         ..RouteSettings::default()
     });
     /// Programs have no home that entries agree on.
-    NoHome => "less home", ExpectedTime, LearnedLimit, route(RouteSettings {
+    NoHome => "less home", ExpectedTime, AdaptiveLimit, route(RouteSettings {
         home_weight: 0,
         ..RouteSettings::default()
     });
     /// Load is taken as reported.
-    NoCorrection => "less load correction", ExpectedTime, LearnedLimit, route(RouteSettings {
+    NoCorrection => "less load correction", ExpectedTime, AdaptiveLimit, route(RouteSettings {
         correct_load: false,
         ..RouteSettings::default()
     });
     /// The best upstream is always taken, however small its lead.
-    NoSpread => "less spread", ExpectedTime, LearnedLimit, route(RouteSettings {
+    NoSpread => "less spread", ExpectedTime, AdaptiveLimit, route(RouteSettings {
         spread: Duration::ZERO,
         ..RouteSettings::default()
     });
     /// Sub-agents wait like others.
-    NoLead => "less sub-agent lead", ExpectedTime, LearnedLimit, admit(AdmitSettings {
+    NoLead => "less sub-agent lead", ExpectedTime, AdaptiveLimit, admit(AdmissionSettings {
         sub_agent_lead: Duration::ZERO,
-        ..AdmitSettings::default()
+        ..AdmissionSettings::default()
     });
     /// Accounts have no share.
-    NoShare => "less account share", ExpectedTime, LearnedLimit, admit(AdmitSettings {
+    NoShare => "less account share", ExpectedTime, AdaptiveLimit, admit(AdmissionSettings {
         account_share_permille: 0,
-        ..AdmitSettings::default()
+        ..AdmissionSettings::default()
     });
     /// Accounts may have any number of calls in progress.
-    NoSlices => "less account slices", ExpectedTime, LearnedLimit, PolicySettings {
+    NoSlices => "less account slices", ExpectedTime, AdaptiveLimit, PolicySettings {
         account_calls: 0,
         ..PolicySettings::default()
     };
     /// Nothing is refused while the queue has room.
-    NoShedding => "less shedding", ExpectedTime, LearnedLimit, admit(AdmitSettings {
+    NoShedding => "less shedding", ExpectedTime, AdaptiveLimit, admit(AdmissionSettings {
         shed_new_after: Duration::ZERO,
-        ..AdmitSettings::default()
+        ..AdmissionSettings::default()
     });
     /// The engine is given all that comes.
     NoLimit => "less learned limit", ExpectedTime, FixedLimit, PolicySettings::default();
     /// KV memory stays with ended programs until it is evicted.
-    NoRelease => "less release", ExpectedTime, LearnedLimit, retain(RetentionSettings {
+    NoRelease => "less release", ExpectedTime, AdaptiveLimit, retain(RetentionSettings {
         release: false,
         ..RetentionSettings::default()
     });
     /// KV memory stays with paused programs until it is evicted.
-    NoExport => "less export", ExpectedTime, LearnedLimit, retain(RetentionSettings {
+    NoExport => "less export", ExpectedTime, AdaptiveLimit, retain(RetentionSettings {
         export_after: Duration::ZERO,
         ..RetentionSettings::default()
     });
     /// Requests that crash upstreams are not told apart.
-    NoQuarantine => "less quarantine", ExpectedTime, LearnedLimit, PolicySettings {
+    NoQuarantine => "less quarantine", ExpectedTime, AdaptiveLimit, PolicySettings {
         quarantine: false,
         ..PolicySettings::default()
     };
     /// Each lost call is sent again at once.
-    NoRetryBudget => "less retry budget", ExpectedTime, LearnedLimit, PolicySettings {
+    NoRetryBudget => "less retry budget", ExpectedTime, AdaptiveLimit, PolicySettings {
         retry: unlimited_retries(),
         ..PolicySettings::default()
     };
@@ -123,13 +123,13 @@
             home_weight: 0,
             ..RouteSettings::default()
         },
-        admit: AdmitSettings {
+        admit: AdmissionSettings {
             max_limit: 100_000,
             max_queued: 100_000,
             sub_agent_lead: Duration::ZERO,
             account_share_permille: 0,
             shed_new_after: Duration::ZERO,
-            ..AdmitSettings::default()
+            ..AdmissionSettings::default()
         },
         retain: RetentionSettings {
             export_after: Duration::ZERO,
@@ -157,7 +157,7 @@
     }
 }
 
-fn admit(admit: AdmitSettings) -> PolicySettings {
+fn admit(admit: AdmissionSettings) -> PolicySettings {
     PolicySettings {
         admit,
         ..PolicySettings::default()
--- a/crates/quay_experiment/src/policy/upstream.rs
+++ b/crates/quay_experiment/src/policy/upstream.rs
@@ -2,7 +2,9 @@
 
 use {
     indexmap::{IndexMap, IndexSet},
-    quay_policy::{Admission, Limit, Observation, PolicySettings, Retention, RetentionAction},
+    quay_policy::{
+        Admission, ConcurrencyLimit, Observation, PolicySettings, Retention, RetentionAction,
+    },
     quay_standin::model::{EngineModel, KvExport, ModelSettings},
     quay_types::{
         Announcement, Incarnation, Load, ModelId, ProgramId, Time, UpstreamId, UpstreamKind,
@@ -58,7 +60,7 @@
     sequence: u64,
 }
 
-impl<L: Limit> Upstream<L> {
+impl<L: ConcurrencyLimit> Upstream<L> {
     pub fn new(at: usize, policy: &PolicySettings, model: ModelSettings) -> Self {
         let name: Box<str> = format!("engine-{at}").into();
         Self {
@@ -140,7 +142,7 @@
                 self.take_export(*program);
                 self.engine.release(now, own);
             }
-            RetentionAction::AskEnded(_) => {}
+            RetentionAction::QueryEnded(_) => {}
         }
     }
 
--- a/crates/quay_experiment/src/policy/world.rs
+++ b/crates/quay_experiment/src/policy/world.rs
@@ -12,8 +12,8 @@
     },
     indexmap::IndexSet,
     quay_policy::{
-        FeedState, Policy, PolicySettings, RetentionAction, RetryBudgets, Router, SliceGrantor,
-        SliceHolder, SliceSettings, SuspectSettings, Suspects,
+        FeedState, Policy, PolicySettings, QuotaAllocator, QuotaHolder, QuotaSettings,
+        RetentionAction, RetryBudgets, Router, SuspectRegistry, SuspectSettings,
     },
     quay_standin::model::{CacheChange, JobEvent},
     quay_types::{Announcement, ProgramId, Time, UpstreamId},
@@ -70,11 +70,11 @@
     pub calls: Vec<Call>,
     pub entries: Vec<Router<P::Score>>,
     pub upstreams: Vec<Upstream<P::Limit>>,
-    pub suspects: Suspects,
+    pub suspects: SuspectRegistry,
     pub budgets: RetryBudgets,
-    pub grantor: SliceGrantor,
+    pub allocator: QuotaAllocator,
     /// What each entry holds of the accounts' limits.
-    pub slices: Vec<SliceHolder>,
+    pub slices: Vec<QuotaHolder>,
     pub counters: Counters,
     /// Blocks that were in some cache once.
     pub seen: IndexSet<u64>,
@@ -121,11 +121,11 @@
             calls: Vec::new(),
             entries: entries.collect(),
             upstreams: upstreams.collect(),
-            suspects: Suspects::new(SuspectSettings::default()),
+            suspects: SuspectRegistry::new(SuspectSettings::default()),
             budgets: RetryBudgets::new(cfg.retry),
-            grantor: SliceGrantor::new(SliceSettings::default()),
+            allocator: QuotaAllocator::new(QuotaSettings::default()),
             slices: (0..scenario.entries)
-                .map(|_| SliceHolder::default())
+                .map(|_| QuotaHolder::default())
                 .collect(),
             counters: Counters::new(),
             seen: IndexSet::new(),
@@ -148,7 +148,7 @@
             self.report(at);
             let (_, report) = self.reports.remove(0);
             for entry in &mut self.entries {
-                entry.announced(Time::ZERO, &report);
+                entry.apply_announcement(Time::ZERO, &report);
             }
             self.after(TICK, Event::Tick(at));
         }
@@ -284,7 +284,7 @@
     /// Carries out what an upstream's retention decided.
     pub fn retain(&mut self, at: usize, action: &RetentionAction) {
         let program = match action {
-            RetentionAction::AskEnded(programs) => return self.sweep(at, programs),
+            RetentionAction::QueryEnded(programs) => return self.sweep(at, programs),
             RetentionAction::Export(id)
             | RetentionAction::Import(id)
             | RetentionAction::Release(id) => *id,
@@ -304,7 +304,7 @@
                 .places
                 .get(id)
                 .is_none_or(|place| self.states[*place].ended);
-            if ended && let Some(action) = self.upstreams[at].retention.ended(*id) {
+            if ended && let Some(action) = self.upstreams[at].retention.program_ended(*id) {
                 self.retain(at, &action);
             }
         }
@@ -328,7 +328,7 @@
         if let Some(place) = self.reports.iter().position(of_this) {
             let (made, report) = self.reports.remove(place);
             for entry in &mut self.entries {
-                entry.announced(made, &report);
+                entry.apply_announcement(made, &report);
             }
         }
         if self.events {
@@ -341,19 +341,19 @@
         let events = upstream.engine.cache_events(self.now);
         let mut gap = false;
         for entry in &mut self.entries {
-            let Some((book, slot)) = entry.book(id) else {
+            let Some((index, slot)) = entry.prefix_index(id) else {
                 continue;
             };
             for event in &events {
                 let state = match event.change {
-                    CacheChange::Stored(hash) => book.stored(slot, event.sequence, hash),
+                    CacheChange::Stored(hash) => index.apply_stored(slot, event.sequence, hash),
                     // What the sidecar has exported is as good as held.
                     CacheChange::Evicted(hash) if upstream.exported.contains(&hash) => {
-                        book.stored(slot, event.sequence, hash)
+                        index.apply_stored(slot, event.sequence, hash)
                     }
-                    CacheChange::Evicted(hash) => book.evicted(slot, event.sequence, hash),
+                    CacheChange::Evicted(hash) => index.apply_evicted(slot, event.sequence, hash),
                     CacheChange::Cleared => {
-                        book.forget(slot);
+                        index.clear_slot(slot);
                         continue;
                     }
                 };
@@ -364,7 +364,7 @@
                 let snapshot = upstream.engine.cache_snapshot();
                 let mut held = snapshot.blocks.to_vec();
                 held.extend(&upstream.exported);
-                book.resync(slot, snapshot.sequence, &held);
+                index.apply_snapshot(slot, snapshot.sequence, &held);
             }
         }
     }
--- a/crates/quay_policy/benches/decisions.rs
+++ b/crates/quay_policy/benches/decisions.rs
@@ -3,8 +3,8 @@
 use {
     criterion::{BatchSize, Criterion},
     quay_policy::{
-        Admission, AdmitSettings, ExpectedTime, LearnedLimit, RouteRequest, RouteSettings, Router,
-        Ticket, TicketId, Verdict,
+        AdaptiveLimit, Admission, AdmissionSettings, ExpectedTime, RouteRequest, RouteSettings,
+        Router, Ticket, TicketId, Verdict,
     },
     quay_types::{
         AccountId, Announcement, CallTarget, Incarnation, Load, ModelId, ProgramId, Time, Tokens,
@@ -50,7 +50,7 @@
                 ..Load::default()
             },
         };
-        router.announced(Time::ZERO, &announcement);
+        router.apply_announcement(Time::ZERO, &announcement);
     }
     router
 }
@@ -75,8 +75,8 @@
                 let req = RouteRequest {
                     target: CallTarget::Model(ModelId(0)),
                     program: ProgramId::root(program),
-                    under_way: true,
-                    lines: &[],
+                    has_history: true,
+                    conversations: &[],
                     prompt: Tokens(len * 64),
                     blocks,
                     tried: &[],
@@ -106,14 +106,14 @@
 }
 
 /// A queue of [`QUEUED`] calls before an upstream that has all that it may.
-fn full_queue() -> Admission<LearnedLimit> {
-    let mut queue = Admission::new(AdmitSettings {
+fn full_queue() -> Admission<AdaptiveLimit> {
+    let mut queue = Admission::new(AdmissionSettings {
         shed_new_after: Duration::ZERO,
         max_queued: 2_000,
-        ..AdmitSettings::default()
+        ..AdmissionSettings::default()
     });
     for id in 0..QUEUED + u64::from(queue.limit()) {
-        queue.enter(Time::ZERO, ticket(id));
+        queue.enqueue(Time::ZERO, ticket(id));
     }
     queue
 }
@@ -126,9 +126,9 @@
     c.bench_function(name, |b| {
         b.iter(|| {
             id += 1;
-            queue.enter(Time::ZERO, ticket(id));
+            queue.enqueue(Time::ZERO, ticket(id));
             if let Some(ended) = running.pop_front() {
-                queue.leave(Time::ZERO, ended);
+                queue.finish(Time::ZERO, ended);
             }
             running.extend(admitted(&queue.poll(Time::ZERO)));
         });
--- a/crates/quay_policy/src/admit/admission.rs
+++ b/crates/quay_policy/src/admit/admission.rs
@@ -1,7 +1,7 @@
 //! A bounded queue by priority with ageing.
 
 use {
-    crate::{AdmitSettings, Limit, Observation, Ticket, TicketId, Verdict},
+    crate::{AdmissionSettings, ConcurrencyLimit, Observation, Ticket, TicketId, Verdict},
     indexmap::IndexMap,
     quay_types::{AccountId, Error, ErrorKind, Time},
     std::{
@@ -37,7 +37,7 @@
 /// The queue before one upstream, under a limit learned by `L`.
 #[derive(Debug)]
 pub struct Admission<L> {
-    cfg: AdmitSettings,
+    cfg: AdmissionSettings,
     limit: L,
     queue: BTreeMap<Place, Waiting>,
     /// Places of the waiting calls.
@@ -57,10 +57,10 @@
     draining: bool,
 }
 
-impl<L: Limit> Admission<L> {
+impl<L: ConcurrencyLimit> Admission<L> {
     /// An empty queue.
     #[must_use]
-    pub fn new(cfg: AdmitSettings) -> Self {
+    pub fn new(cfg: AdmissionSettings) -> Self {
         Self {
             limit: L::new(&cfg),
             queue: BTreeMap::new(),
@@ -69,7 +69,7 @@
             deadlines: BTreeMap::new(),
             running: IndexMap::new(),
             accounts: IndexMap::new(),
-            service: cfg.service,
+            service: cfg.service_time,
             sequence: 0,
             verdicts: Vec::new(),
             alone: false,
@@ -100,7 +100,7 @@
     // Input
 
     /// Queues a call, or refuses it at once if it would wait too long.
-    pub fn enter(&mut self, now: Time, ticket: Ticket) {
+    pub fn enqueue(&mut self, now: Time, ticket: Ticket) {
         if let Some(refusal) = self.refusal(now, &ticket) {
             self.verdicts.push(Verdict::Refuse(ticket.id, refusal));
             return;
@@ -123,12 +123,12 @@
     /// Takes out a call whose caller has gone, waiting or running.
     pub fn cancel(&mut self, now: Time, id: TicketId) {
         if self.take(id).is_none() {
-            self.leave(now, id);
+            self.finish(now, id);
         }
     }
 
     /// Notes that an admitted call has ended.
-    pub fn leave(&mut self, now: Time, id: TicketId) {
+    pub fn finish(&mut self, now: Time, id: TicketId) {
         let Some(started) = self.running.swap_remove(&id) else {
             return;
         };
@@ -168,7 +168,7 @@
         self.expire(now);
         while let Some(ticket) = self.next() {
             self.take(ticket.id);
-            self.alone = ticket.alone;
+            self.alone = ticket.exclusive;
             self.charge(now, ticket.account);
             self.running.insert(ticket.id, now);
             self.verdicts.push(Verdict::Admit(ticket.id));
@@ -181,7 +181,7 @@
         let (_, waiting) = self.queue.first_key_value()?;
         let empty = self.running.is_empty();
         let room = self.running.len() < self.limit() as usize;
-        let may_join = empty || (room && !self.alone && !waiting.ticket.alone);
+        let may_join = empty || (room && !self.alone && !waiting.ticket.exclusive);
         may_join.then_some(waiting.ticket)
     }
 
@@ -272,7 +272,7 @@
         let lead = self.cfg.sub_agent_lead * u32::from(ticket.depth);
         let used = self.accounts.get(&ticket.account).copied();
         let from = used.unwrap_or_default().max(now);
-        from.min(now + self.cfg.behind_max) - lead
+        from.min(now + self.cfg.max_account_delay) - lead
     }
 
     /// Charges an account for the upstream time of a call, shared by the calls beside it.
--- a/crates/quay_policy/src/admit/limit.rs
+++ b/crates/quay_policy/src/admit/limit.rs
@@ -1,6 +1,6 @@
 //! How many calls an upstream is given at a time.
 
-use {crate::AdmitSettings, quay_types::Time, std::time::Duration};
+use {crate::AdmissionSettings, quay_types::Time, std::time::Duration};
 
 /// What was seen of an upstream.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -12,23 +12,23 @@
 }
 
 /// How many calls an upstream is given at a time.
-pub trait Limit {
+pub trait ConcurrencyLimit {
     /// The limit before anything is seen.
-    fn new(cfg: &AdmitSettings) -> Self;
+    fn new(cfg: &AdmissionSettings) -> Self;
 
     /// The limit now.
     fn limit(&self) -> u32;
 
     /// Learns from what was seen; `wanted` says that more calls wait than may run.
-    fn observe(&mut self, cfg: &AdmitSettings, now: Time, seen: Observation, wanted: bool);
+    fn observe(&mut self, cfg: &AdmissionSettings, now: Time, seen: Observation, wanted: bool);
 }
 
 /// The highest limit, whatever is seen: the engine's own batch decides.
 #[derive(Debug)]
 pub struct FixedLimit(u32);
 
-impl Limit for FixedLimit {
-    fn new(cfg: &AdmitSettings) -> Self {
+impl ConcurrencyLimit for FixedLimit {
+    fn new(cfg: &AdmissionSettings) -> Self {
         Self(cfg.max_limit)
     }
 
@@ -36,20 +36,20 @@
         self.0
     }
 
-    fn observe(&mut self, _: &AdmitSettings, _: Time, _: Observation, _: bool) {}
+    fn observe(&mut self, _: &AdmissionSettings, _: Time, _: Observation, _: bool) {}
 }
 
 /// Rises by one while tokens come fast enough and calls wait, falls by a
 /// tenth when they come too slowly or KV memory fills up.
 #[derive(Debug)]
-pub struct LearnedLimit {
+pub struct AdaptiveLimit {
     /// Between the settings' `min_limit` and `max_limit`.
     limit: u32,
     due: Time,
 }
 
-impl Limit for LearnedLimit {
-    fn new(cfg: &AdmitSettings) -> Self {
+impl ConcurrencyLimit for AdaptiveLimit {
+    fn new(cfg: &AdmissionSettings) -> Self {
         Self {
             limit: cfg.start_limit.clamp(cfg.min_limit, cfg.max_limit),
             due: Time::ZERO,
@@ -60,11 +60,11 @@
         self.limit
     }
 
-    fn observe(&mut self, cfg: &AdmitSettings, now: Time, seen: Observation, wanted: bool) {
+    fn observe(&mut self, cfg: &AdmissionSettings, now: Time, seen: Observation, wanted: bool) {
         if now < self.due {
             return;
         }
-        self.due = now + cfg.limit_every;
+        self.due = now + cfg.limit_interval;
         let over = seen.token_gap > cfg.token_gap || seen.kv_permille > cfg.kv_permille;
         if over {
             self.limit -= self.limit.div_ceil(10);
--- a/crates/quay_policy/src/admit/mod.rs
+++ b/crates/quay_policy/src/admit/mod.rs
@@ -7,7 +7,7 @@
 
 pub use {
     admission::Admission,
-    limit::{FixedLimit, LearnedLimit, Limit, Observation},
-    settings::AdmitSettings,
+    limit::{AdaptiveLimit, ConcurrencyLimit, FixedLimit, Observation},
+    settings::AdmissionSettings,
     ticket::{Ticket, TicketId, Verdict},
 };
--- a/crates/quay_policy/src/admit/ticket.rs
+++ b/crates/quay_policy/src/admit/ticket.rs
@@ -24,7 +24,7 @@
     /// When an answer is of no more use.
     pub deadline: Time,
     /// Whether nothing may run beside the call, since it may crash the upstream.
-    pub alone: bool,
+    pub exclusive: bool,
 }
 
 impl Ticket {
--- a/crates/quay_policy/src/guard/mod.rs
+++ b/crates/quay_policy/src/guard/mod.rs
@@ -1,11 +1,11 @@
-//! Guards: retries within a budget, account slices, and requests that crash upstreams.
+//! Guards: retries within a budget, account quota, and requests that crash upstreams.
 
+mod quota;
 mod retry;
-mod slices;
 mod suspects;
 
 pub use {
+    quota::{QuotaAllocator, QuotaHolder, QuotaLease, QuotaSettings},
     retry::{RetryBudgets, RetrySettings},
-    slices::{Grant, SliceGrantor, SliceHolder, SliceSettings},
-    suspects::{Leave, SuspectCommand, SuspectReply, SuspectSettings, Suspects},
+    suspects::{Clearance, SuspectCommand, SuspectRegistry, SuspectReply, SuspectSettings},
 };
--- a/crates/quay_policy/src/guard/slices.rs
+++ b/crates/quay_policy/src/guard/quota.rs
@@ -8,33 +8,33 @@
 
 /// Knobs of slices.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct SliceSettings {
+pub struct QuotaSettings {
     /// How long a slice is good for.
-    pub lease: Duration,
+    pub lease_time: Duration,
 }
 
-impl Default for SliceSettings {
+impl Default for QuotaSettings {
     fn default() -> Self {
         Self {
-            lease: Duration::from_secs(2),
+            lease_time: Duration::from_secs(2),
         }
     }
 }
 
 /// A slice of an account's limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Grant {
+pub struct QuotaLease {
     /// Part of the limit.
     pub amount: u32,
     /// When it ends.
-    pub until: Time,
+    pub expires_at: Time,
 }
 
 /// What one holder asked for and got.
 #[derive(Debug, Clone, Copy)]
 struct Slice {
     wanted: u32,
-    grant: Grant,
+    lease: QuotaLease,
 }
 
 /// Lends the limits of accounts to holders.
@@ -42,15 +42,15 @@
 /// The slices of one account that have not ended never add up to more than its
 /// limit, so no entry needs to ask for each call.
 #[derive(Debug)]
-pub struct SliceGrantor {
-    cfg: SliceSettings,
+pub struct QuotaAllocator {
+    cfg: QuotaSettings,
     slices: IndexMap<AccountId, IndexMap<u64, Slice>>,
 }
 
-impl SliceGrantor {
+impl QuotaAllocator {
     /// Nothing is lent yet.
     #[must_use]
-    pub fn new(cfg: SliceSettings) -> Self {
+    pub fn new(cfg: QuotaSettings) -> Self {
         Self {
             cfg,
             slices: IndexMap::new(),
@@ -63,19 +63,19 @@
     /// progress, as far as the old slice covers them: calls beyond it would
     /// raise the limit for good. While it has any it has to ask again before
     /// the slice ends.
-    pub fn ask(
+    pub fn lease(
         &mut self,
         now: Time,
         account: AccountId,
         holder: u64,
         (open, wanted): (u32, u32),
         limit: u32,
-    ) -> Grant {
+    ) -> QuotaLease {
         let slices = self.slices.entry(account).or_default();
-        slices.retain(|_, slice| slice.grant.until > now);
-        let held = slices.get(&holder).map_or(0, |slice| slice.grant.amount);
+        slices.retain(|_, slice| slice.lease.expires_at > now);
+        let held = slices.get(&holder).map_or(0, |slice| slice.lease.amount);
         let others = slices.iter().filter(|(id, _)| **id != holder);
-        let lent: u32 = others.clone().map(|(_, slice)| slice.grant.amount).sum();
+        let lent: u32 = others.clone().map(|(_, slice)| slice.lease.amount).sum();
         let asked: u32 = others.map(|(_, slice)| slice.wanted).sum();
         let holders = u32::try_from(slices.len()).unwrap_or(u32::MAX);
         let known = u32::from(slices.contains_key(&holder));
@@ -86,21 +86,21 @@
         } else {
             limit
         };
-        let grant = Grant {
+        let lease = QuotaLease {
             amount: wanted
                 .min(most)
                 .min(limit.saturating_sub(lent))
                 .max(open.min(held)),
-            until: now + self.cfg.lease,
+            expires_at: now + self.cfg.lease_time,
         };
-        slices.insert(holder, Slice { wanted, grant });
-        grant
+        slices.insert(holder, Slice { wanted, lease });
+        lease
     }
 
     /// Forgets accounts of which nothing is lent.
-    pub fn tick(&mut self, now: Time) {
+    pub fn remove_expired(&mut self, now: Time) {
         self.slices.retain(|_, slices| {
-            slices.retain(|_, slice| slice.grant.until > now);
+            slices.retain(|_, slice| slice.lease.expires_at > now);
             !slices.is_empty()
         });
     }
@@ -110,47 +110,47 @@
 #[derive(Debug, Default)]
 struct Used {
     open: u32,
-    grant: Option<Grant>,
+    lease: Option<QuotaLease>,
 }
 
 /// Calls in progress of each account at one entry, kept within its slices.
 #[derive(Debug, Default)]
-pub struct SliceHolder {
+pub struct QuotaHolder {
     accounts: IndexMap<AccountId, Used>,
 }
 
-impl SliceHolder {
+impl QuotaHolder {
     /// Calls in progress, and calls that the account could use now: as many
     /// again, so that a slice can grow.
     #[must_use]
-    pub fn wanted(&self, account: AccountId) -> (u32, u32) {
+    pub fn demand(&self, account: AccountId) -> (u32, u32) {
         let open = self.accounts.get(&account).map_or(0, |used| used.open);
         (open, open * 2 + 1)
     }
 
     /// Whether a new slice should be asked for: there is none, or it is used up.
     #[must_use]
-    pub fn needs_slice(&self, now: Time, account: AccountId) -> bool {
+    pub fn needs_lease(&self, now: Time, account: AccountId) -> bool {
         let used = self.accounts.get(&account);
         used.is_none_or(|used| used.open >= used.amount(now))
     }
 
     /// Takes a slice.
-    pub fn granted(&mut self, account: AccountId, grant: Grant) {
-        self.accounts.entry(account).or_default().grant = Some(grant);
+    pub fn set_lease(&mut self, account: AccountId, lease: QuotaLease) {
+        self.accounts.entry(account).or_default().lease = Some(lease);
     }
 
     /// Begins a call. A call of a program under way always may: to refuse it
     /// would waste what the program was given.
-    pub fn enter(&mut self, now: Time, account: AccountId, under_way: bool) -> bool {
+    pub fn begin_call(&mut self, now: Time, account: AccountId, has_history: bool) -> bool {
         let used = self.accounts.entry(account).or_default();
-        let may = under_way || used.open < used.amount(now);
+        let may = has_history || used.open < used.amount(now);
         used.open += u32::from(may);
         may
     }
 
     /// Ends a call; an account without calls is forgotten.
-    pub fn leave(&mut self, account: AccountId) {
+    pub fn end_call(&mut self, account: AccountId) {
         if let Some(used) = self.accounts.get_mut(&account) {
             used.open = used.open.saturating_sub(1);
             if used.open == 0 {
@@ -163,7 +163,7 @@
 impl Used {
     /// Calls that the slice allows now.
     fn amount(&self, now: Time) -> u32 {
-        let valid = self.grant.filter(|grant| grant.until > now);
-        valid.map_or(0, |grant| grant.amount)
+        let valid = self.lease.filter(|lease| lease.expires_at > now);
+        valid.map_or(0, |lease| lease.amount)
     }
 }
--- a/crates/quay_policy/src/guard/retry.rs
+++ b/crates/quay_policy/src/guard/retry.rs
@@ -47,7 +47,7 @@
     }
 
     /// Notes the first try of a call, which earns a share of a retry.
-    pub fn first(&mut self, account: AccountId, group: u64) {
+    pub fn record_first_attempt(&mut self, account: AccountId, group: u64) {
         let most = self.cfg.burst * RETRY_COST;
         let share = self.cfg.share_permille;
         let earn = |left: &mut u32| *left = (*left + share).min(most);
@@ -56,7 +56,7 @@
     }
 
     /// Takes a retry out of both budgets; false if either is used up.
-    pub fn retry(&mut self, account: AccountId, group: u64) -> bool {
+    pub fn try_retry(&mut self, account: AccountId, group: u64) -> bool {
         let most = self.cfg.burst * RETRY_COST;
         let by_account = slot(&mut self.accounts, account, most);
         let by_group = slot(&mut self.groups, group, most);
--- a/crates/quay_policy/src/guard/suspects.rs
+++ b/crates/quay_policy/src/guard/suspects.rs
@@ -25,20 +25,20 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectSettings {
     /// How long a quarantine lasts after the request was last sent.
-    pub quarantine: Duration,
+    pub quarantine_time: Duration,
     /// How long a run of a suspect may take before its place is given away.
-    pub trial: Duration,
+    pub trial_timeout: Duration,
     /// How long a suspect that is not sent again is remembered.
     pub forget_after: Duration,
-    /// Suspects that are remembered.
+    /// Number of suspects that are remembered.
     pub max_suspects: u32,
 }
 
 impl Default for SuspectSettings {
     fn default() -> Self {
         Self {
-            quarantine: Duration::from_mins(10),
-            trial: Duration::from_mins(10),
+            quarantine_time: Duration::from_mins(10),
+            trial_timeout: Duration::from_mins(10),
             forget_after: Duration::from_hours(1),
             max_suspects: 4_096,
         }
@@ -62,7 +62,7 @@
         running: Box<[ContentDigest]>,
     },
     /// An entry asks for leave to run a request.
-    Ask {
+    RequestClearance {
         /// When.
         at: Time,
         /// The request.
@@ -86,15 +86,15 @@
     },
 }
 
-/// Leave to run a request.
+/// Clearance to run a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Leave {
+pub enum Clearance {
     /// The request is no suspect.
-    Free,
+    Unrestricted,
     /// It may run as the only suspect on that upstream.
     OnlySuspect,
     /// It may run if nothing else does on that upstream.
-    Alone,
+    Exclusive,
     /// Another run of it, or another suspect on that upstream, has to end first.
     Wait,
     /// It may not run; the span tells when the quarantine lapses if it is not sent again.
@@ -106,8 +106,8 @@
 pub enum SuspectReply {
     /// The command was carried out, or had been before.
     Done,
-    /// Answer to [`SuspectCommand::Ask`].
-    Leave(Leave),
+    /// Answer to [`SuspectCommand::RequestClearance`].
+    Clearance(Clearance),
 }
 
 /// One suspect.
@@ -122,14 +122,14 @@
 
 /// All suspects; a state machine for the control group to replicate.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Suspects {
+pub struct SuspectRegistry {
     cfg: SuspectSettings,
     requests: IndexMap<ContentDigest, Suspect>,
     /// Latest crash of each upstream that was counted.
     crashes: IndexMap<UpstreamId, (Incarnation, u64)>,
 }
 
-impl Suspects {
+impl SuspectRegistry {
     /// Nothing is suspected.
     #[must_use]
     pub fn new(cfg: SuspectSettings) -> Self {
@@ -165,11 +165,11 @@
                 crash,
                 running,
             } => self.crashed(*at, *upstream, (*incarnation, *crash), running),
-            SuspectCommand::Ask {
+            SuspectCommand::RequestClearance {
                 at,
                 digest,
                 upstream,
-            } => return SuspectReply::Leave(self.ask(*at, *digest, *upstream)),
+            } => return SuspectReply::Clearance(self.ask(*at, *digest, *upstream)),
             SuspectCommand::Ended {
                 at,
                 digest,
@@ -217,18 +217,18 @@
         }
     }
 
-    fn ask(&mut self, at: Time, digest: ContentDigest, upstream: UpstreamId) -> Leave {
+    fn ask(&mut self, at: Time, digest: ContentDigest, upstream: UpstreamId) -> Clearance {
         let Some(suspect) = self.requests.get(&digest).copied() else {
-            return Leave::Free;
+            return Clearance::Unrestricted;
         };
         if self.is_quarantined(at, &suspect) {
             self.touch(at, digest);
-            return Leave::Quarantined(self.cfg.quarantine);
+            return Clearance::Quarantined(self.cfg.quarantine_time);
         }
         let busy = |other: &Suspect| {
             let trial = other
                 .trial
-                .filter(|(_, since)| at.since(*since) < self.cfg.trial);
+                .filter(|(_, since)| at.since(*since) < self.cfg.trial_timeout);
             trial.map(|(place, _)| place)
         };
         let taken = self
@@ -236,16 +236,16 @@
             .values()
             .any(|other| busy(other) == Some(upstream));
         if taken || busy(&suspect).is_some() {
-            return Leave::Wait;
+            return Clearance::Wait;
         }
         if let Some(suspect) = self.requests.get_mut(&digest) {
             suspect.trial = Some((upstream, at));
             suspect.seen = at;
         }
         if suspect.strikes >= ALONE_STRIKES {
-            Leave::Alone
+            Clearance::Exclusive
         } else {
-            Leave::OnlySuspect
+            Clearance::OnlySuspect
         }
     }
 
@@ -266,7 +266,7 @@
     }
 
     fn is_quarantined(&self, now: Time, suspect: &Suspect) -> bool {
-        suspect.strikes >= MAX_STRIKES && now.since(suspect.seen) < self.cfg.quarantine
+        suspect.strikes >= MAX_STRIKES && now.since(suspect.seen) < self.cfg.quarantine_time
     }
 
     /// Forgets suspects that were not sent for long, and the oldest if there are too many.
--- a/crates/quay_policy/src/lib.rs
+++ b/crates/quay_policy/src/lib.rs
@@ -6,39 +6,39 @@
 //!
 //! ```
 //! use {
-//!     quay_policy::{Admission, AdmitSettings, LearnedLimit, Ticket, TicketId, Verdict},
+//!     quay_policy::{Admission, AdmissionSettings, AdaptiveLimit, Ticket, TicketId, Verdict},
 //!     quay_types::Time,
 //! };
 //!
-//! let mut admission = Admission::<LearnedLimit>::new(AdmitSettings::default());
+//! let mut admission = Admission::<AdaptiveLimit>::new(AdmissionSettings::default());
 //! let ticket = Ticket { id: TicketId(1), deadline: Time::from_millis(60_000), ..Ticket::default() };
-//! admission.enter(Time::ZERO, ticket);
+//! admission.enqueue(Time::ZERO, ticket);
 //! assert_eq!(admission.poll(Time::ZERO), [Verdict::Admit(TicketId(1))]);
 //! ```
 
 mod admit;
 mod guard;
-mod held_blocks;
 mod placement;
 mod policy;
+mod program_blocks;
 mod retain;
 mod route;
 
 pub use {
     admit::{
-        Admission, AdmitSettings, FixedLimit, LearnedLimit, Limit, Observation, Ticket, TicketId,
-        Verdict,
+        AdaptiveLimit, Admission, AdmissionSettings, ConcurrencyLimit, FixedLimit, Observation,
+        Ticket, TicketId, Verdict,
     },
     guard::{
-        Grant, Leave, RetryBudgets, RetrySettings, SliceGrantor, SliceHolder, SliceSettings,
-        SuspectCommand, SuspectReply, SuspectSettings, Suspects,
+        Clearance, QuotaAllocator, QuotaHolder, QuotaLease, QuotaSettings, RetryBudgets,
+        RetrySettings, SuspectCommand, SuspectRegistry, SuspectReply, SuspectSettings,
     },
-    held_blocks::HeldBlocks,
     placement::{Move, Placement, PlacementSettings, PlacementView},
     policy::{Policy, PolicySettings},
+    program_blocks::ProgramBlocks,
     retain::{Retention, RetentionAction, RetentionSettings},
     route::{
-        CacheBook, Choice, ExpectedTime, FeedState, LeastLoad, LongestPrefix, RouteRequest,
+        ExpectedTime, FeedState, LeastLoad, LongestPrefix, PrefixIndex, RouteChoice, RouteRequest,
         RouteSettings, Router, Score, Slot, UpstreamView,
     },
 };
--- a/crates/quay_policy/src/placement.rs
+++ b/crates/quay_policy/src/placement.rs
@@ -14,9 +14,9 @@
     /// Bytes of one model's weights.
     pub model_bytes: u64,
     /// Rate of the weight store, in bytes a second.
-    pub store_rate: u64,
+    pub store_bytes_per_s: u64,
     /// After so long a move is taken for failed.
-    pub move_for: Duration,
+    pub move_timeout: Duration,
 }
 
 impl Default for PlacementSettings {
@@ -24,8 +24,8 @@
         Self {
             moving_permille: 100,
             model_bytes: 16 << 30,
-            store_rate: 1 << 30,
-            move_for: Duration::from_mins(5),
+            store_bytes_per_s: 1 << 30,
+            move_timeout: Duration::from_mins(5),
         }
     }
 }
@@ -77,7 +77,7 @@
     }
 
     /// Notes that a move has ended, well or not.
-    pub fn moved(&mut self, upstream: UpstreamId) {
+    pub fn move_finished(&mut self, upstream: UpstreamId) {
         self.moving.swap_remove(&upstream);
     }
 
@@ -93,7 +93,7 @@
     ) -> Vec<Move> {
         let cfg = self.cfg;
         self.moving
-            .retain(|_, (_, since)| now.since(*since) < cfg.move_for);
+            .retain(|_, (_, since)| now.since(*since) < cfg.move_timeout);
         let most = views.len() * cfg.moving_permille as usize / 1_000;
         let mut moves = Vec::new();
         while self.moving.len() < most.max(1) && self.store_free <= now {
@@ -101,7 +101,7 @@
                 break;
             };
             self.moving.insert(next.upstream, (next.load, now));
-            let millis = cfg.model_bytes.saturating_mul(1_000) / cfg.store_rate.max(1);
+            let millis = cfg.model_bytes.saturating_mul(1_000) / cfg.store_bytes_per_s.max(1);
             self.store_free = now + Duration::from_millis(millis);
             self.fence.0 += 1;
             moves.push(Move {
--- a/crates/quay_policy/src/policy.rs
+++ b/crates/quay_policy/src/policy.rs
@@ -1,6 +1,8 @@
 //! A scheduling policy as one type.
 
-use crate::{AdmitSettings, Limit, RetentionSettings, RetrySettings, RouteSettings, Score};
+use crate::{
+    AdmissionSettings, ConcurrencyLimit, RetentionSettings, RetrySettings, RouteSettings, Score,
+};
 
 /// Settings of every part of a policy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -8,7 +10,7 @@
     /// Choice of upstream.
     pub route: RouteSettings,
     /// Queue before each upstream.
-    pub admit: AdmitSettings,
+    pub admit: AdmissionSettings,
     /// KV memory of programs that pause or have ended.
     pub retain: RetentionSettings,
     /// Retries after a lost upstream.
@@ -24,7 +26,7 @@
     fn default() -> Self {
         Self {
             route: RouteSettings::default(),
-            admit: AdmitSettings::default(),
+            admit: AdmissionSettings::default(),
             retain: RetentionSettings::default(),
             retry: RetrySettings::default(),
             account_calls: 24,
@@ -38,7 +40,7 @@
     /// Rates upstreams for a call.
     type Score: Score;
     /// How many calls an upstream is given at a time.
-    type Limit: Limit;
+    type Limit: ConcurrencyLimit;
 
     /// Name in reports.
     const NAME: &'static str;
--- a/crates/quay_policy/src/held_blocks.rs
+++ b/crates/quay_policy/src/program_blocks.rs
@@ -19,14 +19,14 @@
 /// A block that several programs had in their prompts, such as a common system
 /// prompt, is no program's own: it stays under the upstream's own eviction.
 #[derive(Debug, Default)]
-pub struct HeldBlocks {
+pub struct ProgramBlocks {
     programs: IndexMap<ProgramId, IndexSet<u64>>,
     blocks: IndexMap<u64, Holders>,
 }
 
-impl HeldBlocks {
+impl ProgramBlocks {
     /// Notes the blocks of a program's prompt.
-    pub fn note(&mut self, program: ProgramId, blocks: &[u64]) {
+    pub fn record(&mut self, program: ProgramId, blocks: &[u64]) {
         let held = self.programs.entry(program).or_default();
         for block in blocks {
             if held.insert(*block) {
@@ -38,14 +38,14 @@
     }
 
     /// Forgets a program; its own blocks, which the upstream may drop.
-    pub fn take(&mut self, program: ProgramId) -> Box<[u64]> {
+    pub fn remove(&mut self, program: ProgramId) -> Box<[u64]> {
         let held = self.programs.swap_remove(&program).unwrap_or_default();
-        let own = held.into_iter().filter(|block| self.leave(*block));
+        let own = held.into_iter().filter(|block| self.release(*block));
         own.collect()
     }
 
     /// Takes a holder off a block; `true` if it was the only one ever.
-    fn leave(&mut self, block: u64) -> bool {
+    fn release(&mut self, block: u64) -> bool {
         let Some(holders) = self.blocks.get_mut(&block) else {
             return false;
         };
--- a/crates/quay_policy/src/retain.rs
+++ b/crates/quay_policy/src/retain.rs
@@ -19,9 +19,9 @@
     /// Whether KV of ended programs is released.
     pub release: bool,
     /// Interval at which the ledger is asked which programs have ended.
-    pub sweep_every: Duration,
+    pub sweep_interval: Duration,
     /// Pause that is expected before any was seen.
-    pub pause: Duration,
+    pub initial_pause: Duration,
     /// Programs that are remembered.
     pub max_programs: usize,
 }
@@ -32,8 +32,8 @@
             export_after: Duration::from_millis(500),
             drop_after_pauses: 16,
             release: true,
-            sweep_every: Duration::from_secs(10),
-            pause: Duration::from_secs(2),
+            sweep_interval: Duration::from_secs(10),
+            initial_pause: Duration::from_secs(2),
             max_programs: 4_096,
         }
     }
@@ -49,7 +49,7 @@
     /// Release what the upstream holds for the program, and any exported copy.
     Release(ProgramId),
     /// Ask the ledger which of these programs have ended.
-    AskEnded(Box<[ProgramId]>),
+    QueryEnded(Box<[ProgramId]>),
 }
 
 /// What is known of one program at one upstream.
@@ -77,8 +77,8 @@
     pub fn new(cfg: RetentionSettings) -> Self {
         Self {
             programs: IndexMap::new(),
-            pause: cfg.pause,
-            sweep_due: Time::ZERO + cfg.sweep_every,
+            pause: cfg.initial_pause,
+            sweep_due: Time::ZERO + cfg.sweep_interval,
             cfg,
         }
     }
@@ -102,7 +102,7 @@
     }
 
     /// A call of a program starts.
-    pub fn started(&mut self, now: Time, program: ProgramId) -> Vec<RetentionAction> {
+    pub fn call_started(&mut self, now: Time, program: ProgramId) -> Vec<RetentionAction> {
         let mut actions = Vec::new();
         if !self.programs.contains_key(&program) {
             actions.extend(self.make_room());
@@ -127,7 +127,7 @@
     }
 
     /// A call of a program has ended; the program pauses unless others run.
-    pub fn paused(&mut self, now: Time, program: ProgramId) -> Option<RetentionAction> {
+    pub fn call_ended(&mut self, now: Time, program: ProgramId) -> Option<RetentionAction> {
         let held = self.programs.get_mut(&program)?;
         held.running = held.running.saturating_sub(1);
         if held.running > 0 {
@@ -145,7 +145,7 @@
 
     /// A program has ended. What a running call still uses is released when the
     /// call has ended too.
-    pub fn ended(&mut self, program: ProgramId) -> Option<RetentionAction> {
+    pub fn program_ended(&mut self, program: ProgramId) -> Option<RetentionAction> {
         if !self.cfg.release {
             return None;
         }
@@ -159,7 +159,7 @@
     }
 
     /// The upstream has lost everything it held.
-    pub fn lost(&mut self) {
+    pub fn clear(&mut self) {
         self.programs.clear();
     }
 
@@ -167,13 +167,13 @@
     pub fn tick(&mut self, now: Time) -> Vec<RetentionAction> {
         let mut actions = self.drop_old(now);
         if self.cfg.release && now >= self.sweep_due {
-            self.sweep_due = now + self.cfg.sweep_every;
+            self.sweep_due = now + self.cfg.sweep_interval;
             let idle = self.programs.iter().filter(|(_, held)| {
-                held.running == 0 && now.since(held.idle_since) >= self.cfg.sweep_every
+                held.running == 0 && now.since(held.idle_since) >= self.cfg.sweep_interval
             });
             let idle: Box<[_]> = idle.map(|(program, _)| *program).collect();
             if !idle.is_empty() {
-                actions.push(RetentionAction::AskEnded(idle));
+                actions.push(RetentionAction::QueryEnded(idle));
             }
         }
         actions
@@ -184,7 +184,7 @@
         if !self.cfg.release {
             return Vec::new();
         }
-        let limit = self.pause.max(self.cfg.sweep_every) * self.cfg.drop_after_pauses;
+        let limit = self.pause.max(self.cfg.sweep_interval) * self.cfg.drop_after_pauses;
         let old = |held: &Held| held.running == 0 && now.since(held.idle_since) > limit;
         let dropped: Vec<_> = self
             .programs
--- a/crates/quay_policy/src/route/mod.rs
+++ b/crates/quay_policy/src/route/mod.rs
@@ -1,8 +1,8 @@
-//! Choice of an upstream for a call.
+//! Selects an upstream for a call.
 
-mod cache_book;
-mod lines;
+mod conversations;
 mod load;
+mod prefix_index;
 mod rating;
 mod router;
 mod score;
@@ -12,8 +12,8 @@
 const PER_MILLE: u64 = 1_000;
 
 pub use {
-    cache_book::{CacheBook, FeedState, Slot},
-    router::{Choice, RouteRequest, Router},
+    prefix_index::{FeedState, PrefixIndex, Slot},
+    router::{RouteChoice, RouteRequest, Router},
     score::{ExpectedTime, LeastLoad, LongestPrefix, Score, UpstreamView},
     settings::RouteSettings,
 };
--- a/crates/quay_policy/src/route/cache_book.rs
+++ b/crates/quay_policy/src/route/prefix_index.rs
@@ -59,9 +59,9 @@
 pub enum FeedState {
     /// Nothing was heard.
     #[default]
-    Silent,
+    NotStarted,
     /// Every event up to this sequence number was heard.
-    Whole(u64),
+    Complete(u64),
     /// Events are missing before this sequence number; a snapshot is needed.
     Gap(u64),
 }
@@ -71,7 +71,7 @@
 /// It is fed by what was sent, by what upstreams said they found, and by cache
 /// events that come late and with gaps. Being wrong costs a prefill, no more.
 #[derive(Debug)]
-pub struct CacheBook {
+pub struct PrefixIndex {
     /// At most `max_blocks` lines.
     lines: IndexMap<u64, Line>,
     max_blocks: usize,
@@ -80,7 +80,7 @@
     feeds: Vec<FeedState>,
 }
 
-impl CacheBook {
+impl PrefixIndex {
     /// An empty book of at most `max_blocks` blocks.
     #[must_use]
     pub fn new(max_blocks: usize) -> Self {
@@ -108,7 +108,7 @@
     // What is learned
 
     /// Notes that an upstream will hold the blocks of a prompt sent to it.
-    pub fn sent(&mut self, slot: Slot, blocks: &[u64]) {
+    pub fn record_sent(&mut self, slot: Slot, blocks: &[u64]) {
         for depth in probes(blocks.len()) {
             self.store(slot, blocks[depth]);
         }
@@ -118,7 +118,7 @@
     ///
     /// What it prefilled since then it holds, so only a later lookup by another
     /// prompt is corrected: blocks from `held` to `known` were wrong.
-    pub fn missed(&mut self, slot: Slot, blocks: &[u64], held: usize, known: usize) {
+    pub fn record_miss(&mut self, slot: Slot, blocks: &[u64], held: usize, known: usize) {
         let end = known.min(blocks.len());
         for hash in blocks.get(held..end).unwrap_or_default() {
             self.evict(slot, *hash);
@@ -126,7 +126,7 @@
     }
 
     /// Takes an event that says a block is held.
-    pub fn stored(&mut self, slot: Slot, sequence: u64, hash: u64) -> FeedState {
+    pub fn apply_stored(&mut self, slot: Slot, sequence: u64, hash: u64) -> FeedState {
         let state = self.advance(slot, sequence);
         if is_new(state, sequence) {
             self.store(slot, hash);
@@ -135,7 +135,7 @@
     }
 
     /// Takes an event that says a block is no longer held.
-    pub fn evicted(&mut self, slot: Slot, sequence: u64, hash: u64) -> FeedState {
+    pub fn apply_evicted(&mut self, slot: Slot, sequence: u64, hash: u64) -> FeedState {
         let state = self.advance(slot, sequence);
         if is_new(state, sequence) {
             self.evict(slot, hash);
@@ -144,24 +144,24 @@
     }
 
     /// Forgets all that an upstream held, and where its events stood.
-    pub fn forget(&mut self, slot: Slot) {
+    pub fn clear_slot(&mut self, slot: Slot) {
         self.lines.retain(|_, line| {
             line.holders.unset(slot);
             !line.holders.is_empty()
         });
         self.hand = 0;
         if let Some(feed) = self.feeds.get_mut(usize::from(slot.0)) {
-            *feed = FeedState::Silent;
+            *feed = FeedState::NotStarted;
         }
     }
 
     /// Takes a snapshot of all that an upstream holds; closes any gap.
-    pub fn resync(&mut self, slot: Slot, sequence: u64, hashes: &[u64]) {
-        self.forget(slot);
+    pub fn apply_snapshot(&mut self, slot: Slot, sequence: u64, hashes: &[u64]) {
+        self.clear_slot(slot);
         for hash in hashes {
             self.store(slot, *hash);
         }
-        *self.feed(slot) = FeedState::Whole(sequence);
+        *self.feed(slot) = FeedState::Complete(sequence);
     }
 
     /// How complete the events of an upstream are.
@@ -175,9 +175,9 @@
     fn advance(&mut self, slot: Slot, sequence: u64) -> FeedState {
         let feed = self.feed(slot);
         *feed = match *feed {
-            FeedState::Silent if sequence == 1 => FeedState::Whole(1),
-            FeedState::Whole(last) if sequence == last + 1 => FeedState::Whole(sequence),
-            FeedState::Whole(last) | FeedState::Gap(last) if sequence <= last => *feed,
+            FeedState::NotStarted if sequence == 1 => FeedState::Complete(1),
+            FeedState::Complete(last) if sequence == last + 1 => FeedState::Complete(sequence),
+            FeedState::Complete(last) | FeedState::Gap(last) if sequence <= last => *feed,
             _ => FeedState::Gap(sequence),
         };
         *feed
@@ -186,7 +186,7 @@
     fn feed(&mut self, slot: Slot) -> &mut FeedState {
         let at = usize::from(slot.0);
         if at >= self.feeds.len() {
-            self.feeds.resize(at + 1, FeedState::Silent);
+            self.feeds.resize(at + 1, FeedState::NotStarted);
         }
         &mut self.feeds[at]
     }
@@ -270,7 +270,7 @@
 
 /// Whether an event with this number may change the book.
 fn is_new(state: FeedState, sequence: u64) -> bool {
-    state == FeedState::Whole(sequence) || state == FeedState::Gap(sequence)
+    state == FeedState::Complete(sequence) || state == FeedState::Gap(sequence)
 }
 
 /// Depths of a prompt of so many blocks that the book looks at.
--- a/crates/quay_policy/src/route/rating.rs
+++ b/crates/quay_policy/src/route/rating.rs
@@ -51,7 +51,7 @@
     /// A call has ended well, and took so long.
     pub(super) fn served(&mut self, cfg: &RouteSettings, now: Time, took: Duration) {
         self.last = now;
-        let weight = if self.failing >= cfg.failing_from {
+        let weight = if self.failing >= cfg.failing_threshold {
             RETRIAL_WEIGHT
         } else {
             FAILURE_WEIGHT
@@ -79,7 +79,7 @@
 
     /// Factor on the cost of a call, in thousandths, where peers take `typical`.
     pub(super) fn factor(&self, cfg: &RouteSettings, now: Time, typical: Option<Duration>) -> u64 {
-        if now.since(self.last) >= cfg.retrial {
+        if now.since(self.last) >= cfg.probe_interval {
             return PER_MILLE;
         }
         let ratio = match (self.mean(), typical) {
@@ -89,13 +89,13 @@
             }
             _ => PER_MILLE,
         };
-        let slow = if ratio >= cfg.slow_from {
+        let slow = if ratio >= cfg.slow_threshold {
             ratio
         } else {
             PER_MILLE
         };
-        let failing = if self.failing >= cfg.failing_from {
-            self.failing * cfg.failing_weight
+        let failing = if self.failing >= cfg.failing_threshold {
+            self.failing * cfg.failure_weight
         } else {
             0
         };
--- a/crates/quay_policy/src/route/router.rs
+++ b/crates/quay_policy/src/route/router.rs
@@ -3,12 +3,12 @@
 use {
     super::{
         PER_MILLE,
-        cache_book::MAX_SLOTS,
-        lines::{Lines, Run},
+        conversations::{Conversations, LastCall},
         load::LoadEstimate,
+        prefix_index::MAX_SLOTS,
         rating::{PeerRating, typical},
     },
-    crate::{CacheBook, RouteSettings, Score, Slot, UpstreamView},
+    crate::{PrefixIndex, RouteSettings, Score, Slot, UpstreamView},
     indexmap::IndexMap,
     quay_types::{
         Announcement, CallTarget, Incarnation, ProgramId, Time, Tokens, UpstreamId, UpstreamKind,
@@ -29,10 +29,10 @@
     pub program: ProgramId,
     /// Whether the program may have made calls before, so that its home may
     /// hold its history.
-    pub under_way: bool,
+    pub has_history: bool,
     /// The lines of calls that this one goes on from, nearest first: its own
     /// line, and the one that this branched off from.
-    pub lines: &'a [u64],
+    pub conversations: &'a [u64],
     /// Length of the prompt.
     pub prompt: Tokens,
     /// Chained hashes of the prompt's blocks.
@@ -43,7 +43,7 @@
 
 /// An upstream chosen for a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Choice {
+pub struct RouteChoice {
     /// The upstream.
     pub upstream: UpstreamId,
     /// Run of its sidecar.
@@ -51,7 +51,7 @@
     /// Address of its sidecar.
     pub addr: SocketAddr,
     /// Leading blocks of the prompt that the book believes it to hold.
-    pub held: u32,
+    pub cached_blocks: u32,
 }
 
 /// One known upstream.
@@ -62,7 +62,7 @@
     rating: PeerRating,
     heard: Time,
     slot: Slot,
-    far: bool,
+    remote: bool,
 }
 
 /// Routing state of one entry, for upstreams rated by `S`.
@@ -74,8 +74,8 @@
     /// Slots of upstreams that have gone, ready for others.
     free_slots: Vec<Slot>,
     used_slots: u16,
-    book: CacheBook,
-    lines: Lines,
+    index: PrefixIndex,
+    conversations: Conversations,
     /// Blocks held by each slot for the call at hand.
     depths: Vec<u32>,
     /// Upstreams that serve the call at hand.
@@ -96,8 +96,8 @@
             upstreams: IndexMap::new(),
             free_slots: Vec::new(),
             used_slots: 0,
-            book: CacheBook::new(cfg.book_blocks),
-            lines: Lines::new(cfg.lines),
+            index: PrefixIndex::new(cfg.max_index_blocks),
+            conversations: Conversations::new(cfg.max_conversations),
             depths: Vec::new(),
             fitting: Vec::new(),
             costs: Vec::new(),
@@ -108,25 +108,25 @@
     }
 
     /// The cache book, and the place of an upstream in it.
-    pub fn book(&mut self, id: UpstreamId) -> Option<(&mut CacheBook, Slot)> {
+    pub fn prefix_index(&mut self, id: UpstreamId) -> Option<(&mut PrefixIndex, Slot)> {
         let slot = self.upstreams.get(&id)?.slot;
-        Some((&mut self.book, slot))
+        Some((&mut self.index, slot))
     }
 
     /// Upstreams that are known.
-    pub fn known(&self) -> impl Iterator<Item = UpstreamId> {
+    pub fn upstream_ids(&self) -> impl Iterator<Item = UpstreamId> {
         self.upstreams.keys().copied()
     }
 
     /// Where the sidecar of an upstream is; nothing is known of its cache.
     #[must_use]
-    pub fn find(&self, id: UpstreamId) -> Option<Choice> {
+    pub fn find(&self, id: UpstreamId) -> Option<RouteChoice> {
         let announcement = &self.upstreams.get(&id)?.announcement;
-        Some(Choice {
+        Some(RouteChoice {
             upstream: id,
             incarnation: announcement.incarnation,
             addr: announcement.addr,
-            held: 0,
+            cached_blocks: 0,
         })
     }
 
@@ -134,9 +134,9 @@
     // What is learned
 
     /// Takes an announcement that was made at `made`; an older one is ignored.
-    pub fn announced(&mut self, made: Time, announcement: &Announcement) {
+    pub fn apply_announcement(&mut self, made: Time, announcement: &Announcement) {
         let id = announcement.upstream();
-        let far = announcement.data_centre != self.data_centre;
+        let remote = announcement.data_centre != self.data_centre;
         let age = Duration::from_millis(announcement.load.age_ms.into());
         if let Some(known) = self.upstreams.get_mut(&id) {
             let order = |of: &Announcement| (of.incarnation, of.sequence);
@@ -146,12 +146,12 @@
             if known.announcement.incarnation != announcement.incarnation {
                 known.load = LoadEstimate::default();
                 known.rating = PeerRating::default();
-                self.book.forget(known.slot);
+                self.index.clear_slot(known.slot);
             }
             known.load.report(made - age, announcement.load);
             known.announcement = announcement.clone();
             known.heard = made;
-            known.far = far;
+            known.remote = remote;
             return;
         }
         // More upstreams than slots: the rest stay unknown to this entry.
@@ -164,55 +164,58 @@
             rating: PeerRating::default(),
             heard: made,
             slot,
-            far,
+            remote,
         };
         self.upstreams.insert(id, upstream);
     }
 
     /// Forgets an upstream.
-    pub fn gone(&mut self, id: UpstreamId) {
+    pub fn remove(&mut self, id: UpstreamId) {
         if let Some(upstream) = self.upstreams.shift_remove(&id) {
-            self.book.forget(upstream.slot);
+            self.index.clear_slot(upstream.slot);
             self.free_slots.push(upstream.slot);
         }
     }
 
     /// Forgets every upstream that is not listed.
-    pub fn keep_only(&mut self, listed: &[UpstreamId]) {
-        let gone: Vec<_> = self.known().filter(|id| !listed.contains(id)).collect();
+    pub fn retain_only(&mut self, listed: &[UpstreamId]) {
+        let gone: Vec<_> = self
+            .upstream_ids()
+            .filter(|id| !listed.contains(id))
+            .collect();
         for id in gone {
-            self.gone(id);
+            self.remove(id);
         }
     }
 
     /// Notes that a call sent to an upstream has ended there.
-    pub fn ended(&mut self, now: Time, id: UpstreamId) {
+    pub fn record_end(&mut self, now: Time, id: UpstreamId) {
         if let Some(upstream) = self.upstreams.get_mut(&id) {
             upstream.load.ended(now);
         }
     }
 
     /// Notes that a call ended well, and how long a unit of its work took.
-    pub fn served(&mut self, now: Time, id: UpstreamId, took: Duration) {
+    pub fn record_success(&mut self, now: Time, id: UpstreamId, took: Duration) {
         if let Some(upstream) = self.upstreams.get_mut(&id) {
             upstream.rating.served(&self.cfg, now, took);
         }
     }
 
     /// Notes that an upstream lost or spoilt a call.
-    pub fn failed(&mut self, now: Time, id: UpstreamId) {
+    pub fn record_failure(&mut self, now: Time, id: UpstreamId) {
         if let Some(upstream) = self.upstreams.get_mut(&id) {
             upstream.rating.failed(now);
         }
     }
 
     /// Notes how many leading blocks an upstream found, against those expected.
-    pub fn found(&mut self, id: UpstreamId, blocks: &[u64], held: u32, expected: u32) {
+    pub fn record_cached(&mut self, id: UpstreamId, blocks: &[u64], held: u32, expected: u32) {
         if held >= expected {
             return;
         }
-        if let Some((book, slot)) = self.book(id) {
-            book.missed(slot, blocks, held as usize, expected as usize);
+        if let Some((index, slot)) = self.prefix_index(id) {
+            index.record_miss(slot, blocks, held as usize, expected as usize);
         }
     }
 
@@ -235,10 +238,10 @@
     /// `draw` is a random number; it spreads calls over upstreams that are
     /// equally good, so that entries with the same reports do not all choose
     /// the same one.
-    pub fn pick(&mut self, now: Time, req: &RouteRequest<'_>, draw: u64) -> Option<Choice> {
+    pub fn pick(&mut self, now: Time, req: &RouteRequest<'_>, draw: u64) -> Option<RouteChoice> {
         let slots = usize::from(self.used_slots);
-        if S::PREFIX && self.cfg.prefix_weight > 0 {
-            self.book.lookup(req.blocks, &mut self.depths, slots);
+        if S::USES_PREFIX_INDEX && self.cfg.prefix_weight > 0 {
+            self.index.lookup(req.blocks, &mut self.depths, slots);
         } else {
             self.depths.clear();
             self.depths.resize(slots, 0);
@@ -292,9 +295,9 @@
                     .load
                     .age(now)
                     .is_none_or(|age| age > self.cfg.stale_after),
-                far: upstream.far,
-                missing: req.prompt.0.saturating_sub(held),
-                slowness: upstream.rating.factor(&self.cfg, now, typical),
+                remote: upstream.remote,
+                uncached_tokens: req.prompt.0.saturating_sub(held),
+                slowdown: upstream.rating.factor(&self.cfg, now, typical),
             };
             self.costs.push((S::cost(&self.cfg, &view), at));
         }
@@ -314,8 +317,8 @@
     /// The upstream to which this entry sent the last call of a line, and the
     /// blocks of that call's prompt.
     fn ran(&self, req: &RouteRequest<'_>) -> Option<(UpstreamId, usize)> {
-        req.lines.iter().find_map(|line| {
-            let run = self.lines.get(*line)?;
+        req.conversations.iter().find_map(|line| {
+            let run = self.conversations.get(*line)?;
             let known = self.upstreams.get(&run.upstream)?;
             let same = known.announcement.incarnation == run.incarnation;
             same.then_some((run.upstream, run.blocks))
@@ -326,7 +329,7 @@
     /// rendezvous hashing: entries share no state, and a program's calls come
     /// through any of them.
     fn home(&self, req: &RouteRequest<'_>) -> Option<UpstreamId> {
-        if !S::PREFIX || self.cfg.home_weight == 0 || !req.under_way {
+        if !S::USES_PREFIX_INDEX || self.cfg.home_weight == 0 || !req.has_history {
             return None;
         }
         let program = mix(req.program.root);
@@ -338,27 +341,27 @@
     }
 
     /// Notes the call as sent to the upstream at `at`.
-    fn send(&mut self, now: Time, req: &RouteRequest<'_>, at: usize) -> Option<Choice> {
+    fn send(&mut self, now: Time, req: &RouteRequest<'_>, at: usize) -> Option<RouteChoice> {
         let (id, upstream) = self.upstreams.get_index_mut(at)?;
         let held = self.depths[usize::from(upstream.slot.0)];
         let missing = req.prompt.0.saturating_sub(u64::from(held) * BLOCK_TOKENS);
         upstream.load.sent(now, missing);
         upstream.rating.sent(now);
-        let choice = Choice {
+        let choice = RouteChoice {
             upstream: *id,
             incarnation: upstream.announcement.incarnation,
             addr: upstream.announcement.addr,
-            held,
+            cached_blocks: held,
         };
-        if S::PREFIX {
-            self.book.sent(upstream.slot, req.blocks);
-            if let Some(line) = req.lines.first() {
-                let run = Run {
+        if S::USES_PREFIX_INDEX {
+            self.index.record_sent(upstream.slot, req.blocks);
+            if let Some(line) = req.conversations.first() {
+                let run = LastCall {
                     upstream: choice.upstream,
                     incarnation: choice.incarnation,
                     blocks: req.blocks.len(),
                 };
-                self.lines.put(*line, run);
+                self.conversations.put(*line, run);
             }
         }
         Some(choice)
--- a/crates/quay_policy/src/route/score.rs
+++ b/crates/quay_policy/src/route/score.rs
@@ -10,18 +10,18 @@
     /// Whether the report is missing or too old to be relied on.
     pub stale: bool,
     /// Whether it is in another data centre.
-    pub far: bool,
+    pub remote: bool,
     /// Tokens of the prompt that it would have to prefill.
-    pub missing: u64,
+    pub uncached_tokens: u64,
     /// Factor on what it takes, against peers, in thousandths; 1,000 and less
     /// say nothing.
-    pub slowness: u64,
+    pub slowdown: u64,
 }
 
 /// Rates upstreams; the lowest cost is chosen.
 pub trait Score {
     /// Whether the cache book is asked what each upstream holds.
-    const PREFIX: bool;
+    const USES_PREFIX_INDEX: bool;
 
     /// Cost of sending a call to an upstream, in microseconds where the unit matters.
     fn cost(cfg: &RouteSettings, view: &UpstreamView) -> u64;
@@ -32,7 +32,7 @@
 pub struct LeastLoad;
 
 impl Score for LeastLoad {
-    const PREFIX: bool = false;
+    const USES_PREFIX_INDEX: bool = false;
 
     fn cost(_: &RouteSettings, view: &UpstreamView) -> u64 {
         u64::from(view.load.queued) + u64::from(view.load.running)
@@ -50,12 +50,12 @@
 const CROWDED: u64 = 40;
 
 impl Score for LongestPrefix {
-    const PREFIX: bool = true;
+    const USES_PREFIX_INDEX: bool = true;
 
     fn cost(cfg: &RouteSettings, view: &UpstreamView) -> u64 {
         let calls = LeastLoad::cost(cfg, view);
         let crowded = u64::from(calls > CROWDED) << 60;
-        crowded + view.missing * CALLS_LIMIT + calls
+        crowded + view.uncached_tokens * CALLS_LIMIT + calls
     }
 }
 
@@ -64,7 +64,7 @@
 pub struct ExpectedTime;
 
 impl Score for ExpectedTime {
-    const PREFIX: bool = true;
+    const USES_PREFIX_INDEX: bool = true;
 
     fn cost(cfg: &RouteSettings, view: &UpstreamView) -> u64 {
         let load = &view.load;
@@ -77,13 +77,13 @@
         // Of the calls that run, one ends about every `answer / running`.
         let queue = u64::from(load.queued) * answer / running.max(1);
         let weight = cfg.prefix_weight + cfg.prefix_per_running * running;
-        let prefill = view.missing * cfg.prefill_us * weight / PER_MILLE;
+        let prefill = view.uncached_tokens * cfg.prefill_us * weight / PER_MILLE;
         let backlog = load.backlog * cfg.prefill_us;
         let full = load.kv_permille >= cfg.kv_full_permille;
         let surcharge = [
             (full, cfg.kv_full_cost),
             (view.stale, cfg.stale_cost),
-            (view.far, cfg.far),
+            (view.remote, cfg.remote_cost),
         ];
         let surcharge: u64 = surcharge
             .iter()
@@ -91,6 +91,6 @@
             .map(|(_, cost)| u64::try_from(cost.as_micros()).unwrap_or(u64::MAX))
             .sum();
         let work = answer + queue + prefill + backlog;
-        work.saturating_mul(view.slowness.max(PER_MILLE)) / PER_MILLE + surcharge
+        work.saturating_mul(view.slowdown.max(PER_MILLE)) / PER_MILLE + surcharge
     }
 }
--- a/crates/quay_policy/src/route/settings.rs
+++ b/crates/quay_policy/src/route/settings.rs
@@ -26,7 +26,7 @@
     /// thousandths of a prefix that is known.
     pub home_weight: u64,
     /// Cost of another data centre.
-    pub far: Duration,
+    pub remote_cost: Duration,
     /// Age at which a load report is taken with care.
     pub stale_after: Duration,
     /// Age at which an upstream is used only if there is no other.
@@ -38,21 +38,21 @@
     /// Cost of full KV memory.
     pub kv_full_cost: Duration,
     /// Blocks that the cache book remembers.
-    pub book_blocks: usize,
-    /// Lines of calls of which it is remembered who ran the last one.
-    pub lines: usize,
+    pub max_index_blocks: usize,
+    /// Number of conversations whose last upstream is remembered.
+    pub max_conversations: usize,
     /// Time of a call, in thousandths of what peers take, from which on an
     /// upstream is slow: more than a full engine takes against an idle one.
-    pub slow_from: u64,
+    pub slow_threshold: u64,
     /// Rate of failed calls, in thousandths, from which on an upstream fails:
     /// two calls in a row do it, a single one does not.
-    pub failing_from: u64,
+    pub failing_threshold: u64,
     /// Calls that a failed one counts as: a program that loses one is late or
     /// fails, with all its other calls.
-    pub failing_weight: u64,
+    pub failure_weight: u64,
     /// Time after which one call tries a slow or failing upstream again: as long
     /// as a caller waits for one.
-    pub retrial: Duration,
+    pub probe_interval: Duration,
 }
 
 impl Default for RouteSettings {
@@ -67,19 +67,19 @@
             correct_load: true,
             spread: Duration::from_millis(20),
             home_weight: 1_000,
-            far: Duration::from_millis(3),
+            remote_cost: Duration::from_millis(3),
             stale_after: Duration::from_secs(3),
             silent_after: Duration::from_secs(6),
             stale_cost: Duration::from_secs(1),
             kv_full_permille: 900,
             kv_full_cost: Duration::from_secs(2),
-            book_blocks: 65_536,
+            max_index_blocks: 65_536,
             // Some minutes of the programs of one entry; 300 kB.
-            lines: 8_192,
-            slow_from: 1_800,
-            failing_from: 200,
-            failing_weight: 20,
-            retrial: Duration::from_secs(3),
+            max_conversations: 8_192,
+            slow_threshold: 1_800,
+            failing_threshold: 200,
+            failure_weight: 20,
+            probe_interval: Duration::from_secs(3),
         }
     }
 }
--- a/crates/quay_policy/tests/admission.rs
+++ b/crates/quay_policy/tests/admission.rs
@@ -3,7 +3,8 @@
 use {
     proptest::prelude::*,
     quay_policy::{
-        Admission, AdmitSettings, FixedLimit, LearnedLimit, Observation, Ticket, TicketId, Verdict,
+        AdaptiveLimit, Admission, AdmissionSettings, FixedLimit, Observation, Ticket, TicketId,
+        Verdict,
     },
     quay_types::{AccountId, ErrorKind, Time, Tokens},
     std::time::Duration,
@@ -20,10 +21,10 @@
 
 /// A queue that lets one call through at a time and sheds nothing.
 fn one_by_one() -> Admission<FixedLimit> {
-    Admission::new(AdmitSettings {
+    Admission::new(AdmissionSettings {
         max_limit: 1,
         shed_new_after: Duration::ZERO,
-        ..AdmitSettings::default()
+        ..AdmissionSettings::default()
     })
 }
 
@@ -42,7 +43,7 @@
     while let [id] = admitted(&queue.poll(now))[..] {
         started.push(id);
         now = now + Duration::from_millis(1);
-        queue.leave(now, TicketId(id));
+        queue.finish(now, TicketId(id));
     }
     started
 }
@@ -50,8 +51,8 @@
 #[test]
 fn a_sub_agent_goes_before_its_peers() {
     let mut queue = one_by_one();
-    queue.enter(Time::ZERO, ticket(1, 0));
-    queue.enter(
+    queue.enqueue(Time::ZERO, ticket(1, 0));
+    queue.enqueue(
         Time::ZERO + Duration::from_millis(1),
         Ticket {
             depth: 1,
@@ -64,8 +65,8 @@
         "time zero leaves no room for a lead"
     );
     let later = Time::from_millis(60_000);
-    queue.enter(later, ticket(3, 0));
-    queue.enter(
+    queue.enqueue(later, ticket(3, 0));
+    queue.enqueue(
         later + Duration::from_millis(1),
         Ticket {
             depth: 1,
@@ -84,28 +85,28 @@
     };
     let mut now = Time::ZERO;
     for id in 0..4 {
-        queue.enter(now, of(id, 1));
+        queue.enqueue(now, of(id, 1));
         queue.poll(now);
         now = now + Duration::from_secs(2);
-        queue.leave(now, TicketId(id));
+        queue.finish(now, TicketId(id));
     }
-    queue.enter(now, of(10, 1));
-    queue.enter(now, of(11, 1));
-    queue.enter(now + Duration::from_millis(500), of(12, 2));
+    queue.enqueue(now, of(10, 1));
+    queue.enqueue(now, of(11, 1));
+    queue.enqueue(now + Duration::from_millis(500), of(12, 2));
     assert_eq!(admitted(&queue.poll(now))[..], [12]);
 }
 
 #[test]
 fn new_programs_are_shed_before_those_under_way() {
-    let mut queue = Admission::<FixedLimit>::new(AdmitSettings {
+    let mut queue = Admission::<FixedLimit>::new(AdmissionSettings {
         max_limit: 1,
-        ..AdmitSettings::default()
+        ..AdmissionSettings::default()
     });
-    queue.enter(Time::ZERO, ticket(1, 0));
+    queue.enqueue(Time::ZERO, ticket(1, 0));
     queue.poll(Time::ZERO);
-    queue.enter(Time::ZERO, ticket(2, 500));
-    queue.enter(Time::ZERO, ticket(3, 0));
-    queue.enter(Time::ZERO, ticket(4, 500));
+    queue.enqueue(Time::ZERO, ticket(2, 500));
+    queue.enqueue(Time::ZERO, ticket(3, 0));
+    queue.enqueue(Time::ZERO, ticket(4, 500));
     let verdicts = queue.poll(Time::ZERO);
     let [Verdict::Refuse(id, err)] = &verdicts[..] else {
         panic!("{verdicts:?}");
@@ -123,9 +124,9 @@
         deadline: Time::from_millis(500),
         ..ticket(2, 500)
     };
-    queue.enter(Time::ZERO, ticket(1, 0));
+    queue.enqueue(Time::ZERO, ticket(1, 0));
     queue.poll(Time::ZERO);
-    queue.enter(Time::ZERO, soon);
+    queue.enqueue(Time::ZERO, soon);
     assert_eq!(queue.poll(Time::from_millis(499)), []);
     let verdicts = queue.poll(Time::from_millis(500));
     assert!(
@@ -135,14 +136,14 @@
 
 #[test]
 fn a_full_queue_refuses_the_last_new_program() {
-    let mut queue = Admission::<FixedLimit>::new(AdmitSettings {
+    let mut queue = Admission::<FixedLimit>::new(AdmissionSettings {
         max_limit: 1,
         max_queued: 2,
         shed_new_after: Duration::ZERO,
-        ..AdmitSettings::default()
+        ..AdmissionSettings::default()
     });
     for id in 0..4 {
-        queue.enter(Time::ZERO, ticket(id, 0));
+        queue.enqueue(Time::ZERO, ticket(id, 0));
     }
     let refused = |verdicts: &[Verdict]| {
         let id = |verdict: &Verdict| match verdict {
@@ -152,37 +153,37 @@
         verdicts.iter().filter_map(id).collect::<Vec<_>>()
     };
     assert_eq!(refused(&queue.poll(Time::ZERO)), [2, 3]);
-    queue.enter(Time::ZERO, ticket(8, 10));
-    queue.enter(Time::ZERO, ticket(9, 10));
+    queue.enqueue(Time::ZERO, ticket(8, 10));
+    queue.enqueue(Time::ZERO, ticket(9, 10));
     assert_eq!(refused(&queue.poll(Time::ZERO)), [1]);
 }
 
 #[test]
 fn a_call_that_must_be_alone_is() {
-    let mut queue = Admission::<LearnedLimit>::new(AdmitSettings::default());
+    let mut queue = Admission::<AdaptiveLimit>::new(AdmissionSettings::default());
     let alone = Ticket {
-        alone: true,
+        exclusive: true,
         ..ticket(2, 0)
     };
-    queue.enter(Time::ZERO, ticket(1, 0));
+    queue.enqueue(Time::ZERO, ticket(1, 0));
     assert_eq!(admitted(&queue.poll(Time::ZERO)), [1]);
-    queue.enter(Time::ZERO, alone);
-    queue.enter(Time::ZERO, ticket(3, 0));
+    queue.enqueue(Time::ZERO, alone);
+    queue.enqueue(Time::ZERO, ticket(3, 0));
     assert_eq!(admitted(&queue.poll(Time::ZERO)), [0; 0]);
-    queue.leave(Time::ZERO, TicketId(1));
+    queue.finish(Time::ZERO, TicketId(1));
     assert_eq!(admitted(&queue.poll(Time::ZERO)), [2]);
-    queue.leave(Time::ZERO, TicketId(2));
+    queue.finish(Time::ZERO, TicketId(2));
     assert_eq!(admitted(&queue.poll(Time::ZERO)), [3]);
 }
 
 #[test]
 fn a_leaving_upstream_refuses_what_waits_and_lets_the_rest_finish() {
     let mut queue = one_by_one();
-    queue.enter(Time::ZERO, ticket(1, 0));
+    queue.enqueue(Time::ZERO, ticket(1, 0));
     queue.poll(Time::ZERO);
-    queue.enter(Time::ZERO, ticket(2, 0));
+    queue.enqueue(Time::ZERO, ticket(2, 0));
     queue.drain();
-    queue.enter(Time::ZERO, ticket(3, 0));
+    queue.enqueue(Time::ZERO, ticket(3, 0));
     let verdicts = queue.poll(Time::ZERO);
     let draining = |verdict: &Verdict| matches!(verdict, Verdict::Refuse(_, err) if err.kind == ErrorKind::Draining);
     assert_eq!(verdicts.len(), 2);
@@ -192,12 +193,12 @@
 
 #[test]
 fn the_limit_falls_when_tokens_slow_down_and_rises_when_calls_wait() {
-    let mut queue = Admission::<LearnedLimit>::new(AdmitSettings {
+    let mut queue = Admission::<AdaptiveLimit>::new(AdmissionSettings {
         shed_new_after: Duration::ZERO,
-        ..AdmitSettings::default()
+        ..AdmissionSettings::default()
     });
     for id in 0..200 {
-        queue.enter(Time::ZERO, ticket(id, 0));
+        queue.enqueue(Time::ZERO, ticket(id, 0));
     }
     queue.poll(Time::ZERO);
     let before = queue.limit();
@@ -225,16 +226,16 @@
     fn verdicts_are_single_and_waits_are_bounded(
         steps in prop::collection::vec((0_u64..5_000, 0_u64..200_000, 0_u8..3, 0_u64..3, 0_u8..4), 1..80),
     ) {
-        let cfg = AdmitSettings { start_limit: 4, max_limit: 4, ..AdmitSettings::default() };
-        let bound = cfg.behind_max + cfg.sub_agent_lead * 2;
-        let mut queue = Admission::<LearnedLimit>::new(cfg);
+        let cfg = AdmissionSettings { start_limit: 4, max_limit: 4, ..AdmissionSettings::default() };
+        let bound = cfg.max_account_delay + cfg.sub_agent_lead * 2;
+        let mut queue = Admission::<AdaptiveLimit>::new(cfg);
         let mut now = Time::from_millis(1_000_000);
         let (mut entered, mut running) = (indexmap::IndexMap::new(), Vec::new());
         let mut verdicts = 0;
         for ((pause, attained, depth, account, action), id) in steps.iter().zip(0_u64..) {
             now = now + Duration::from_millis(*pause);
             if *action == 0 && !running.is_empty() {
-                queue.leave(now, running.remove(0));
+                queue.finish(now, running.remove(0));
             }
             let ticket = Ticket {
                 id: TicketId(id),
@@ -245,7 +246,7 @@
                 ..Ticket::default()
             };
             entered.insert(ticket.id, now);
-            queue.enter(now, ticket);
+            queue.enqueue(now, ticket);
             for verdict in queue.poll(now) {
                 verdicts += 1;
                 let (Verdict::Admit(id) | Verdict::Refuse(id, _)) = verdict;
@@ -262,7 +263,7 @@
         }
         let end = now + Duration::from_mins(2);
         for id in running {
-            queue.leave(end, id);
+            queue.finish(end, id);
         }
         verdicts += queue.poll(end).len();
         prop_assert_eq!(verdicts, steps.len());
--- a/crates/quay_policy/tests/routing.rs
+++ b/crates/quay_policy/tests/routing.rs
@@ -1,8 +1,10 @@
-//! Tests of routing and of the cache book.
+//! Tests of routing and of the cache index.
 
 use {
     proptest::prelude::*,
-    quay_policy::{CacheBook, ExpectedTime, FeedState, RouteRequest, RouteSettings, Router, Slot},
+    quay_policy::{
+        ExpectedTime, FeedState, PrefixIndex, RouteRequest, RouteSettings, Router, Slot,
+    },
     quay_types::{
         Announcement, CallTarget, Incarnation, Load, ModelId, ProgramId, Time, Tokens, UpstreamId,
         UpstreamKind, UpstreamState,
@@ -34,7 +36,7 @@
 fn router(count: u64) -> Router<ExpectedTime> {
     let mut router = Router::new(RouteSettings::default(), "a");
     for number in 0..count {
-        router.announced(Time::ZERO, &announcement(number, 1, Load::default()));
+        router.apply_announcement(Time::ZERO, &announcement(number, 1, Load::default()));
     }
     router
 }
@@ -43,8 +45,8 @@
     RouteRequest {
         target: CallTarget::Model(MODEL),
         program: ProgramId::root(root),
-        under_way: false,
-        lines: &[],
+        has_history: false,
+        conversations: &[],
         prompt: Tokens(blocks.len() as u64 * 64),
         blocks,
         tried: &[],
@@ -85,7 +87,7 @@
         .expect("choice");
     // The first call has ended: its prefill no longer stands before the next one.
     for number in 0..10 {
-        router.announced(
+        router.apply_announcement(
             Time::from_millis(5),
             &announcement(number, 2, Load::default()),
         );
@@ -94,7 +96,7 @@
         .pick(Time::from_millis(5), &request(1, &blocks), 8)
         .expect("choice");
     assert_eq!(first.upstream, again.upstream);
-    assert!(again.held > 180, "{}", again.held);
+    assert!(again.cached_blocks > 180, "{}", again.cached_blocks);
     let crowded = Load {
         queued: 100,
         running: 30,
@@ -103,7 +105,7 @@
     };
     for number in 0..10 {
         if upstream(number) == first.upstream {
-            router.announced(Time::from_millis(10), &announcement(number, 3, crowded));
+            router.apply_announcement(Time::from_millis(10), &announcement(number, 3, crowded));
         }
     }
     let other = router.pick(Time::from_millis(10), &request(1, &blocks), 0);
@@ -114,8 +116,8 @@
 fn entries_agree_on_the_home_of_a_program() {
     let blocks: Vec<u64> = (1..100).collect();
     let under_way = RouteRequest {
-        under_way: true,
-        lines: &[],
+        has_history: true,
+        conversations: &[],
         ..request(9, &blocks)
     };
     let choices: Vec<_> = (0..5)
@@ -141,7 +143,7 @@
         token_gap_us: 30_000,
         ..Load::default()
     };
-    router.announced(later, &announcement(0, 2, busy));
+    router.apply_announcement(later, &announcement(0, 2, busy));
     for draw in 0..4 {
         let choice = router
             .pick(later, &request(draw, &[]), draw)
@@ -166,52 +168,52 @@
         state: UpstreamState::Draining,
         ..announcement(0, 3, Load::default())
     };
-    router.announced(Time::ZERO, &leaving);
-    router.announced(Time::ZERO, &announcement(0, 2, Load::default()));
+    router.apply_announcement(Time::ZERO, &leaving);
+    router.apply_announcement(Time::ZERO, &announcement(0, 2, Load::default()));
     assert_eq!(router.pick(Time::ZERO, &request(1, &[]), 0), None);
 }
 
 #[test]
 fn a_gap_in_the_events_is_seen_and_closed_by_a_snapshot() {
-    let mut book = CacheBook::new(100);
+    let mut index = PrefixIndex::new(100);
     let slot = Slot(3);
-    assert_eq!(book.stored(slot, 1, 11), FeedState::Whole(1));
-    assert_eq!(book.stored(slot, 2, 12), FeedState::Whole(2));
-    assert_eq!(book.stored(slot, 4, 14), FeedState::Gap(4));
-    assert_eq!(book.evicted(slot, 5, 11), FeedState::Gap(5));
-    book.resync(slot, 9, &[11, 12, 13]);
-    assert_eq!(book.feed_state(slot), FeedState::Whole(9));
+    assert_eq!(index.apply_stored(slot, 1, 11), FeedState::Complete(1));
+    assert_eq!(index.apply_stored(slot, 2, 12), FeedState::Complete(2));
+    assert_eq!(index.apply_stored(slot, 4, 14), FeedState::Gap(4));
+    assert_eq!(index.apply_evicted(slot, 5, 11), FeedState::Gap(5));
+    index.apply_snapshot(slot, 9, &[11, 12, 13]);
+    assert_eq!(index.feed_state(slot), FeedState::Complete(9));
     assert_eq!(
-        book.evicted(slot, 8, 11),
-        FeedState::Whole(9),
+        index.apply_evicted(slot, 8, 11),
+        FeedState::Complete(9),
         "older than the snapshot"
     );
     let mut depths = Vec::new();
-    book.lookup(&[11, 12, 13, 14], &mut depths, 4);
+    index.lookup(&[11, 12, 13, 14], &mut depths, 4);
     assert_eq!(depths, [0, 0, 0, 3]);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    /// The book stays within its bound, and never claims more than was sent.
+    /// The index stays within its bound, and never claims more than was sent.
     #[test]
     fn the_book_is_bounded_and_claims_only_what_was_sent(
         max in 1_usize..400,
         sends in prop::collection::vec((0_u16..20, 0_u64..6, 1_usize..300), 1..40),
     ) {
-        let mut book = CacheBook::new(max);
+        let mut index = PrefixIndex::new(max);
         let blocks = |prompt: u64, len: usize| -> Vec<u64> {
             (0..len as u64).map(|depth| prompt << 32 | depth).collect()
         };
         let mut sent = indexmap::IndexMap::new();
         let mut depths = Vec::new();
         for (slot, prompt, len) in sends {
-            book.sent(Slot(slot), &blocks(prompt, len));
+            index.record_sent(Slot(slot), &blocks(prompt, len));
             let most = sent.entry((slot, prompt)).or_insert(0);
             *most = len.max(*most);
-            prop_assert!(book.len() <= max);
-            book.lookup(&blocks(prompt, 300), &mut depths, 20);
+            prop_assert!(index.len() <= max);
+            index.lookup(&blocks(prompt, 300), &mut depths, 20);
             for (slot, depth) in depths.iter().enumerate() {
                 let slot = u16::try_from(slot).expect("small");
                 let most = sent.get(&(slot, prompt)).copied().unwrap_or(0);
@@ -249,7 +251,7 @@
     };
     let mut router = Router::new(cfg, "a");
     for number in 0..10 {
-        router.announced(Time::ZERO, &announcement(number, 1, Load::default()));
+        router.apply_announcement(Time::ZERO, &announcement(number, 1, Load::default()));
     }
     router
 }
@@ -259,7 +261,7 @@
 fn router_with_a_line() -> (Router<ExpectedTime>, UpstreamId) {
     let mut router = gateway_router();
     let first = RouteRequest {
-        lines: &[5],
+        conversations: &[5],
         ..request(1, &LONG[..250])
     };
     let ran = router.pick(Time::ZERO, &first, 3).expect("choice").upstream;
@@ -269,7 +271,7 @@
             running,
             ..Load::default()
         };
-        router.announced(Time::from_millis(5), &announcement(number, 2, load));
+        router.apply_announcement(Time::from_millis(5), &announcement(number, 2, load));
     }
     (router, ran)
 }
@@ -277,12 +279,12 @@
 #[test]
 fn a_line_of_calls_stays_with_the_upstream_that_ran_the_last_one() {
     // Its next call, and one that branches off, wherever the home may be.
-    for lines in [&[5][..], &[6, 5]] {
+    for conversations in [&[5][..], &[6, 5]] {
         for root in 0..20 {
             let (mut router, ran) = router_with_a_line();
             let next = RouteRequest {
-                lines,
-                under_way: true,
+                conversations,
+                has_history: true,
                 ..request(root, &LONG[..300])
             };
             let choice = router.pick(Time::from_millis(6), &next, root);
@@ -303,9 +305,9 @@
         incarnation: Incarnation(2),
         ..announcement(number.expect("known"), 1, load)
     };
-    router.announced(Time::from_millis(6), &again);
+    router.apply_announcement(Time::from_millis(6), &again);
     let next = RouteRequest {
-        lines: &[5],
+        conversations: &[5],
         ..request(1, &LONG[..300])
     };
     let choice = router.pick(Time::from_millis(6), &next, 0);
@@ -331,8 +333,8 @@
         let own = (0..turn * GROWS).map(|block| line << 32 | 1 << 20 | block);
         let blocks: Vec<u64> = shared.chain(own).collect();
         let req = RouteRequest {
-            lines: &[line + 1],
-            under_way: turn > 1,
+            conversations: &[line + 1],
+            has_history: turn > 1,
             ..request(line, &blocks)
         };
         let choice = router
@@ -347,7 +349,7 @@
         if step >= 100 {
             let ended = usize::try_from((step - 100) % 120).expect("small");
             if let Some(id) = last[ended] {
-                router.ended(now, id);
+                router.record_end(now, id);
             }
         }
     }
@@ -421,7 +423,7 @@
                 ..Load::default()
             };
             self.router
-                .announced(self.now, &announcement(number, 1, load));
+                .apply_announcement(self.now, &announcement(number, 1, load));
         }
     }
 
@@ -433,11 +435,11 @@
             .collect();
         for (at, number, took) in ended {
             let id = upstream(number);
-            self.router.ended(now, id);
+            self.router.record_end(now, id);
             if fails(number) && at.as_millis() % 2 == 0 {
-                self.router.failed(now, id);
+                self.router.record_failure(now, id);
             } else {
-                self.router.served(now, id, took);
+                self.router.record_success(now, id, took);
             }
         }
     }
@@ -450,7 +452,7 @@
 
 /// Retrials of two upstreams in a span, one at a time each.
 fn retrials(span: Duration) -> u32 {
-    let every = RouteSettings::default().retrial;
+    let every = RouteSettings::default().probe_interval;
     2 * u32::try_from(span.as_millis() / every.as_millis() + 1).expect("small")
 }
 
--- a/crates/quay_policy/tests/suspects.rs
+++ b/crates/quay_policy/tests/suspects.rs
@@ -2,7 +2,7 @@
 
 use {
     proptest::prelude::*,
-    quay_policy::{Leave, SuspectCommand, SuspectReply, SuspectSettings, Suspects},
+    quay_policy::{Clearance, SuspectCommand, SuspectRegistry, SuspectReply, SuspectSettings},
     quay_types::{ContentDigest, Incarnation, Time, UpstreamId},
     std::time::Duration,
 };
@@ -21,19 +21,19 @@
     }
 }
 
-fn ask(suspects: &mut Suspects, at: Time, number: usize, upstream: u64) -> Leave {
-    let command = SuspectCommand::Ask {
+fn ask(suspects: &mut SuspectRegistry, at: Time, number: usize, upstream: u64) -> Clearance {
+    let command = SuspectCommand::RequestClearance {
         at,
         digest: digest(number),
         upstream: UpstreamId(upstream),
     };
     match suspects.apply(&command) {
-        SuspectReply::Leave(leave) => leave,
+        SuspectReply::Clearance(leave) => leave,
         SuspectReply::Done => panic!("an ask is answered"),
     }
 }
 
-fn end(suspects: &mut Suspects, number: usize, completed: bool) {
+fn end(suspects: &mut SuspectRegistry, number: usize, completed: bool) {
     suspects.apply(&SuspectCommand::Ended {
         at: Time::ZERO,
         digest: digest(number),
@@ -43,37 +43,43 @@
 
 #[test]
 fn a_suspect_runs_as_the_only_one_and_then_alone() {
-    let mut suspects = Suspects::new(SuspectSettings::default());
-    assert_eq!(ask(&mut suspects, Time::ZERO, 1, 1), Leave::Free);
+    let mut suspects = SuspectRegistry::new(SuspectSettings::default());
+    assert_eq!(
+        ask(&mut suspects, Time::ZERO, 1, 1),
+        Clearance::Unrestricted
+    );
     suspects.apply(&crashed(1, &[1, 2]));
-    assert_eq!(ask(&mut suspects, Time::ZERO, 1, 5), Leave::OnlySuspect);
-    assert_eq!(ask(&mut suspects, Time::ZERO, 1, 6), Leave::Wait);
-    assert_eq!(ask(&mut suspects, Time::ZERO, 2, 5), Leave::Wait);
-    assert_eq!(ask(&mut suspects, Time::ZERO, 2, 6), Leave::OnlySuspect);
+    assert_eq!(ask(&mut suspects, Time::ZERO, 1, 5), Clearance::OnlySuspect);
+    assert_eq!(ask(&mut suspects, Time::ZERO, 1, 6), Clearance::Wait);
+    assert_eq!(ask(&mut suspects, Time::ZERO, 2, 5), Clearance::Wait);
+    assert_eq!(ask(&mut suspects, Time::ZERO, 2, 6), Clearance::OnlySuspect);
     end(&mut suspects, 2, true);
-    assert_eq!(ask(&mut suspects, Time::ZERO, 2, 5), Leave::Free);
+    assert_eq!(
+        ask(&mut suspects, Time::ZERO, 2, 5),
+        Clearance::Unrestricted
+    );
     suspects.apply(&crashed(2, &[1, 3]));
-    assert_eq!(ask(&mut suspects, Time::ZERO, 1, 7), Leave::Alone);
+    assert_eq!(ask(&mut suspects, Time::ZERO, 1, 7), Clearance::Exclusive);
     suspects.apply(&crashed(3, &[1]));
     assert!(matches!(
         ask(&mut suspects, Time::ZERO, 1, 8),
-        Leave::Quarantined(_)
+        Clearance::Quarantined(_)
     ));
-    assert_eq!(ask(&mut suspects, Time::ZERO, 3, 8), Leave::OnlySuspect);
+    assert_eq!(ask(&mut suspects, Time::ZERO, 3, 8), Clearance::OnlySuspect);
 }
 
 #[test]
 fn a_crash_that_is_reported_twice_counts_once() {
-    let mut suspects = Suspects::new(SuspectSettings::default());
+    let mut suspects = SuspectRegistry::new(SuspectSettings::default());
     for _ in 0..3 {
         suspects.apply(&crashed(1, &[1]));
     }
-    assert_eq!(ask(&mut suspects, Time::ZERO, 1, 1), Leave::OnlySuspect);
+    assert_eq!(ask(&mut suspects, Time::ZERO, 1, 1), Clearance::OnlySuspect);
 }
 
 #[test]
 fn a_quarantine_lapses_only_if_the_request_is_not_sent_again() {
-    let mut suspects = Suspects::new(SuspectSettings::default());
+    let mut suspects = SuspectRegistry::new(SuspectSettings::default());
     suspects.apply(&crashed(1, &[1]));
     suspects.apply(&crashed(2, &[1]));
     let minute = Duration::from_mins(1);
@@ -82,13 +88,16 @@
         now = now + minute;
         assert!(matches!(
             ask(&mut suspects, now, 1, 1),
-            Leave::Quarantined(_)
+            Clearance::Quarantined(_)
         ));
     }
     assert_eq!(suspects.quarantined(now).count(), 1);
-    assert_eq!(ask(&mut suspects, now + minute * 11, 1, 1), Leave::Alone);
+    assert_eq!(
+        ask(&mut suspects, now + minute * 11, 1, 1),
+        Clearance::Exclusive
+    );
     suspects.apply(&SuspectCommand::Clear { digest: digest(1) });
-    assert_eq!(ask(&mut suspects, now, 1, 1), Leave::Free);
+    assert_eq!(ask(&mut suspects, now, 1, 1), Clearance::Unrestricted);
 }
 
 proptest! {
@@ -102,7 +111,7 @@
     ) {
         const POISON: usize = 2;
         const REQUESTS: usize = 12;
-        let mut suspects = Suspects::new(SuspectSettings::default());
+        let mut suspects = SuspectRegistry::new(SuspectSettings::default());
         let mut places: Vec<(Vec<usize>, bool)> = vec![(Vec::new(), false); 4];
         let mut completed = [0_u32; REQUESTS];
         let mut losses = [0_u32; POISON];
@@ -116,17 +125,17 @@
             if !runs_already && !places[at].1 {
                 let leave = ask(&mut suspects, now, request, upstream);
                 let fits = match leave {
-                    Leave::Free | Leave::OnlySuspect => true,
-                    Leave::Alone => places[at].0.is_empty(),
-                    Leave::Wait | Leave::Quarantined(_) => false,
+                    Clearance::Unrestricted | Clearance::OnlySuspect => true,
+                    Clearance::Exclusive => places[at].0.is_empty(),
+                    Clearance::Wait | Clearance::Quarantined(_) => false,
                 };
-                if matches!(leave, Leave::Quarantined(_)) {
+                if matches!(leave, Clearance::Quarantined(_)) {
                     prop_assert!(request < POISON, "harmless request {} in quarantine", request);
                 }
                 if fits {
                     places[at].0.push(request);
-                    places[at].1 = leave == Leave::Alone;
-                } else if leave == Leave::Alone {
+                    places[at].1 = leave == Clearance::Exclusive;
+                } else if leave == Clearance::Exclusive {
                     end(&mut suspects, request, false);
                 }
             }
--- a/crates/sapphirequayd/src/gateway/front/upstreams.rs
+++ b/crates/sapphirequayd/src/gateway/front/upstreams.rs
@@ -99,7 +99,7 @@
             .map(|it| it.announcement.upstream())
             .collect();
         self.known.retain(|id, _| listed.contains(id));
-        self.router.keep_only(&listed);
+        self.router.retain_only(&listed);
     }
 
     fn learn_entry(&mut self, now: Time, entry: &DirectoryEntry) {
@@ -149,7 +149,7 @@
             load,
             ..known.announcement.clone()
         };
-        self.router.announced(now, &announcement);
+        self.router.apply_announcement(now, &announcement);
     }
 
     /// Takes an upstream's report of its load: running, waiting, slots.
@@ -165,12 +165,12 @@
     /// A request has ended well at an upstream; `took` is the time of its unit
     /// of work, an event of a stream or a whole answer.
     pub fn served(&mut self, now: Time, id: UpstreamId, took: Duration) {
-        self.router.served(now, id, took);
+        self.router.record_success(now, id, took);
     }
 
     /// An upstream lost or spoilt a request.
     pub fn failed(&mut self, now: Time, id: UpstreamId) {
-        self.router.failed(now, id);
+        self.router.record_failure(now, id);
     }
 
     /// Counts only own requests where the last report is old.
@@ -229,8 +229,8 @@
         let mut req = RouteRequest {
             target: CallTarget::Service(ServiceId::of(service)),
             program: ProgramId::root(UpstreamId::of(program).0),
-            under_way: goes_on || lines.len() > 1,
-            lines: &lines,
+            has_history: goes_on || lines.len() > 1,
+            conversations: &lines,
             prompt: Tokens(token_count(&head.prompt)),
             blocks: &blocks,
             tried: &passed_over,
@@ -253,7 +253,7 @@
     pub fn ended(&mut self, now: Time, id: UpstreamId) {
         if let Some(known) = self.known.get_mut(&id) {
             known.in_flight = known.in_flight.saturating_sub(1);
-            self.router.ended(now, id);
+            self.router.record_end(now, id);
         }
     }
 }
--- a/crates/sapphirequayd/src/process/gate.rs
+++ b/crates/sapphirequayd/src/process/gate.rs
@@ -3,7 +3,9 @@
 use {
     crate::process::Machine,
     indexmap::IndexMap,
-    quay_policy::{Admission, AdmitSettings, LearnedLimit, Observation, Ticket, TicketId, Verdict},
+    quay_policy::{
+        AdaptiveLimit, Admission, AdmissionSettings, Observation, Ticket, TicketId, Verdict,
+    },
     quay_types::{CallRequest, Error, Load, Time, UpstreamState},
     std::{sync::mpsc::SyncSender, time::Duration},
 };
@@ -43,7 +45,7 @@
 
 /// The queue before one upstream.
 pub struct Gate {
-    admission: Admission<LearnedLimit>,
+    admission: Admission<AdaptiveLimit>,
     waiters: IndexMap<TicketId, Waiter>,
     last_ticket: u64,
     token_gap: Duration,
@@ -52,7 +54,7 @@
 
 impl Gate {
     /// An empty queue.
-    pub fn new(cfg: AdmitSettings) -> Self {
+    pub fn new(cfg: AdmissionSettings) -> Self {
         Self {
             admission: Admission::new(cfg),
             waiters: IndexMap::new(),
@@ -67,7 +69,7 @@
         self.last_ticket += 1;
         let id = TicketId(self.last_ticket);
         self.waiters.insert(id, waiter);
-        self.admission.enter(now, Ticket { id, ..ticket });
+        self.admission.enqueue(now, Ticket { id, ..ticket });
     }
 
     /// Tells the callers of `poll` what was decided.
@@ -92,7 +94,7 @@
         let heard = waiter.is_some_and(|waiter| waiter.send(answer).is_ok());
         // A waiter that has gone away takes no place.
         if !heard {
-            self.admission.leave(now, id);
+            self.admission.finish(now, id);
         }
     }
 
@@ -143,7 +145,7 @@
     fn handle(&mut self, now: Time, msg: GateMsg) {
         match msg {
             GateMsg::Enter(ticket, waiter) => self.enter(now, ticket, waiter),
-            GateMsg::Leave(id) => self.admission.leave(now, id),
+            GateMsg::Leave(id) => self.admission.finish(now, id),
             GateMsg::TokenGap(gap) => self.token_gap(gap),
             GateMsg::Drain(drained) => self.drain(drained),
             GateMsg::Load(reply) => drop(reply.send((self.load(), self.state()))),
--- a/crates/sapphirequayd/src/process/kv_keeper.rs
+++ b/crates/sapphirequayd/src/process/kv_keeper.rs
@@ -6,7 +6,7 @@
         process::{Clock, LedgerClient, Machine, Mailbox, spawn},
     },
     indexmap::IndexMap,
-    quay_policy::{HeldBlocks, Retention, RetentionAction, RetentionSettings},
+    quay_policy::{ProgramBlocks, Retention, RetentionAction, RetentionSettings},
     quay_types::{LedgerReply, LedgerRequest, ProgramId, Time},
     std::{
         io,
@@ -46,7 +46,7 @@
 /// Decides what the upstream keeps.
 pub struct KvKeeper {
     retention: Retention,
-    held: HeldBlocks,
+    held: ProgramBlocks,
     tasks: Sender<KvTask>,
     /// Whether the worker asks the ledger now.
     sweeping: bool,
@@ -60,7 +60,7 @@
     /// Fails if the system gives no thread.
     pub fn start(
         clock: Clock,
-        sweep_every: Duration,
+        sweep_interval: Duration,
         engine: EngineClient,
         ledger: LedgerClient,
     ) -> io::Result<Mailbox<KvMsg>> {
@@ -68,12 +68,12 @@
         let settings = RetentionSettings {
             // Exports need room for the copies, which a sidecar does not have.
             export_after: Duration::ZERO,
-            sweep_every,
+            sweep_interval,
             ..RetentionSettings::default()
         };
         let keeper = Self {
             retention: Retention::new(settings),
-            held: HeldBlocks::default(),
+            held: ProgramBlocks::default(),
             tasks,
             sweeping: false,
         };
@@ -90,13 +90,13 @@
         for action in actions {
             let task = match action {
                 RetentionAction::Release(program) => {
-                    KvTask::Release(program, self.held.take(program))
+                    KvTask::Release(program, self.held.remove(program))
                 }
-                RetentionAction::AskEnded(programs) if !self.sweeping => {
+                RetentionAction::QueryEnded(programs) if !self.sweeping => {
                     self.sweeping = true;
                     KvTask::Ask(programs)
                 }
-                RetentionAction::AskEnded(_)
+                RetentionAction::QueryEnded(_)
                 | RetentionAction::Export(_)
                 | RetentionAction::Import(_) => continue,
             };
@@ -114,16 +114,16 @@
     fn handle(&mut self, now: Time, msg: KvMsg) {
         match msg {
             KvMsg::Started(program, blocks) => {
-                self.held.note(program, &blocks);
-                let actions = self.retention.started(now, program);
+                self.held.record(program, &blocks);
+                let actions = self.retention.call_started(now, program);
                 self.act(actions);
             }
             KvMsg::Paused(program) => {
-                let action = self.retention.paused(now, program);
+                let action = self.retention.call_ended(now, program);
                 self.act(action);
             }
             KvMsg::Ended(program) => {
-                let action = self.retention.ended(program);
+                let action = self.retention.program_ended(program);
                 self.act(action);
             }
             KvMsg::Swept => self.sweeping = false,
--- a/crates/sapphirequayd/src/process/router.rs
+++ b/crates/sapphirequayd/src/process/router.rs
@@ -2,7 +2,9 @@
 
 use {
     crate::process::Machine,
-    quay_policy::{Choice, ExpectedTime, RetryBudgets, RetrySettings, RouteRequest, RouteSettings},
+    quay_policy::{
+        ExpectedTime, RetryBudgets, RetrySettings, RouteChoice, RouteRequest, RouteSettings,
+    },
     quay_types::{
         AccountId, CallTarget, DirectoryEntry, Incarnation, ProgramId, Time, Tokens, UpstreamId,
     },
@@ -22,13 +24,13 @@
     pub held: u32,
 }
 
-impl From<Choice> for Pick {
-    fn from(choice: Choice) -> Self {
+impl From<RouteChoice> for Pick {
+    fn from(choice: RouteChoice) -> Self {
         Self {
             upstream: choice.upstream,
             incarnation: choice.incarnation,
             addr: choice.addr,
-            held: choice.held,
+            held: choice.cached_blocks,
         }
     }
 }
@@ -109,10 +111,10 @@
             .iter()
             .map(|entry| entry.announcement.upstream())
             .collect();
-        self.policy.keep_only(&listed);
+        self.policy.retain_only(&listed);
         for entry in entries {
             let made = now - Duration::from_millis(entry.age_ms.into());
-            self.policy.announced(made, &entry.announcement);
+            self.policy.apply_announcement(made, &entry.announcement);
         }
     }
 
@@ -123,9 +125,9 @@
             CallTarget::Service(service) => service.0,
         };
         match req.attempt {
-            Try::First => self.budgets.first(req.account, group),
+            Try::First => self.budgets.record_first_attempt(req.account, group),
             Try::Again => {}
-            Try::Retry if self.budgets.retry(req.account, group) => {}
+            Try::Retry if self.budgets.try_retry(req.account, group) => {}
             Try::Retry => {
                 log::warn!(
                     "event=retry_refused account={} group={group:016x}",
@@ -137,8 +139,8 @@
         let route = RouteRequest {
             target: req.target,
             program: req.program,
-            under_way: req.under_way,
-            lines: &[],
+            has_history: req.under_way,
+            conversations: &[],
             prompt: req.prompt,
             blocks: &req.blocks,
             tried: &req.tried,
@@ -162,9 +164,10 @@
                 let _ = reply.send(self.policy.find(id).map(Pick::from));
             }
             RouterMsg::Found { pick, blocks, held } => {
-                self.policy.found(pick.upstream, &blocks, held, pick.held);
+                self.policy
+                    .record_cached(pick.upstream, &blocks, held, pick.held);
             }
-            RouterMsg::Done(id) => self.policy.ended(now, id),
+            RouterMsg::Done(id) => self.policy.record_end(now, id),
         }
     }
 
--- a/crates/sapphirequayd/src/settings/policy.rs
+++ b/crates/sapphirequayd/src/settings/policy.rs
@@ -1,7 +1,7 @@
 //! Knobs of the policy.
 
 use {
-    quay_policy::{AdmitSettings, RetrySettings, RouteSettings},
+    quay_policy::{AdmissionSettings, RetrySettings, RouteSettings},
     serde::Deserialize,
     std::time::Duration,
 };
@@ -63,7 +63,7 @@
     pub spread_ms: u64,
     /// [`RouteSettings::home_weight`].
     pub home_weight: u64,
-    /// [`RouteSettings::far`] in milliseconds.
+    /// [`RouteSettings::remote_cost`] in milliseconds.
     pub far_ms: u64,
     /// [`RouteSettings::stale_after`] in milliseconds.
     pub stale_after_ms: u64,
@@ -71,7 +71,7 @@
     pub silent_after_ms: u64,
     /// [`RouteSettings::stale_cost`] in milliseconds.
     pub stale_cost_ms: u64,
-    /// [`RouteSettings::book_blocks`].
+    /// [`RouteSettings::max_index_blocks`].
     pub book_blocks: usize,
 }
 
@@ -87,11 +87,11 @@
             token_gap_us: cfg.token_gap_us,
             spread_ms: ms(cfg.spread),
             home_weight: cfg.home_weight,
-            far_ms: ms(cfg.far),
+            far_ms: ms(cfg.remote_cost),
             stale_after_ms: ms(cfg.stale_after),
             silent_after_ms: ms(cfg.silent_after),
             stale_cost_ms: ms(cfg.stale_cost),
-            book_blocks: cfg.book_blocks,
+            book_blocks: cfg.max_index_blocks,
         }
     }
 }
@@ -109,56 +109,56 @@
             token_gap_us: self.token_gap_us,
             spread: Duration::from_millis(self.spread_ms),
             home_weight: self.home_weight,
-            far: Duration::from_millis(self.far_ms),
+            remote_cost: Duration::from_millis(self.far_ms),
             stale_after: Duration::from_millis(self.stale_after_ms),
             silent_after: Duration::from_millis(self.silent_after_ms),
             stale_cost: Duration::from_millis(self.stale_cost_ms),
-            book_blocks: self.book_blocks,
+            max_index_blocks: self.book_blocks,
             ..RouteSettings::default()
         }
     }
 }
 
-/// Knobs of [`AdmitSettings`].
+/// Knobs of [`AdmissionSettings`].
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct AdmitTable {
-    /// [`AdmitSettings::start_limit`].
+    /// [`AdmissionSettings::start_limit`].
     pub start_limit: u32,
-    /// [`AdmitSettings::min_limit`].
+    /// [`AdmissionSettings::min_limit`].
     pub min_limit: u32,
-    /// [`AdmitSettings::token_gap`] in milliseconds.
+    /// [`AdmissionSettings::token_gap`] in milliseconds.
     pub token_gap_ms: u64,
-    /// [`AdmitSettings::limit_every`] in milliseconds.
+    /// [`AdmissionSettings::limit_interval`] in milliseconds.
     pub limit_every_ms: u64,
-    /// [`AdmitSettings::max_queued`].
+    /// [`AdmissionSettings::max_queued`].
     pub max_queued: usize,
-    /// [`AdmitSettings::behind_max`] in milliseconds.
+    /// [`AdmissionSettings::max_account_delay`] in milliseconds.
     pub behind_max_ms: u64,
-    /// [`AdmitSettings::sub_agent_lead`] in milliseconds.
+    /// [`AdmissionSettings::sub_agent_lead`] in milliseconds.
     pub sub_agent_lead_ms: u64,
-    /// [`AdmitSettings::account_share_permille`].
+    /// [`AdmissionSettings::account_share_permille`].
     pub account_share_permille: u32,
-    /// [`AdmitSettings::shed_new_after`] in milliseconds.
+    /// [`AdmissionSettings::shed_new_after`] in milliseconds.
     pub shed_new_after_ms: u64,
-    /// [`AdmitSettings::service`] in milliseconds.
+    /// [`AdmissionSettings::service_time`] in milliseconds.
     pub service_ms: u64,
 }
 
 impl Default for AdmitTable {
     fn default() -> Self {
-        let cfg = AdmitSettings::default();
+        let cfg = AdmissionSettings::default();
         Self {
             start_limit: cfg.start_limit,
             min_limit: cfg.min_limit,
             token_gap_ms: ms(cfg.token_gap),
-            limit_every_ms: ms(cfg.limit_every),
+            limit_every_ms: ms(cfg.limit_interval),
             max_queued: cfg.max_queued,
-            behind_max_ms: ms(cfg.behind_max),
+            behind_max_ms: ms(cfg.max_account_delay),
             sub_agent_lead_ms: ms(cfg.sub_agent_lead),
             account_share_permille: cfg.account_share_permille,
             shed_new_after_ms: ms(cfg.shed_new_after),
-            service_ms: ms(cfg.service),
+            service_ms: ms(cfg.service_time),
         }
     }
 }
@@ -166,20 +166,20 @@
 impl AdmitTable {
     /// The knobs as admission takes them, for at most `concurrency` calls.
     #[must_use]
-    pub fn settings(&self, concurrency: u32) -> AdmitSettings {
-        AdmitSettings {
+    pub fn settings(&self, concurrency: u32) -> AdmissionSettings {
+        AdmissionSettings {
             start_limit: self.start_limit.min(concurrency),
             min_limit: self.min_limit.min(concurrency),
             max_limit: concurrency,
             token_gap: Duration::from_millis(self.token_gap_ms),
-            limit_every: Duration::from_millis(self.limit_every_ms),
+            limit_interval: Duration::from_millis(self.limit_every_ms),
             max_queued: self.max_queued,
-            behind_max: Duration::from_millis(self.behind_max_ms),
+            max_account_delay: Duration::from_millis(self.behind_max_ms),
             sub_agent_lead: Duration::from_millis(self.sub_agent_lead_ms),
             account_share_permille: self.account_share_permille,
             shed_new_after: Duration::from_millis(self.shed_new_after_ms),
-            service: Duration::from_millis(self.service_ms),
-            ..AdmitSettings::default()
+            service_time: Duration::from_millis(self.service_ms),
+            ..AdmissionSettings::default()
         }
     }
 }
