--- a/crates/quay_config/src/audit.rs
+++ b/crates/quay_config/src/audit.rs
@@ -8,7 +8,7 @@
 };
 
 /// Records that a replica keeps; older ones are dropped, oldest first.
-pub const MAX_RECORDS: usize = 20_000;
+pub const MAX_AUDIT_RECORDS: usize = 20_000;
 
 /// Longest text in a record, in bytes.
 const MAX_FIELD_BYTES: usize = 512;
@@ -44,7 +44,7 @@
 impl AuditRecord {
     /// The chain value that follows `previous`.
     #[must_use]
-    pub fn chained(&self, previous: ContentDigest) -> ContentDigest {
+    pub fn chain_after(&self, previous: ContentDigest) -> ContentDigest {
         let bare = Self {
             chain: previous,
             ..self.clone()
@@ -116,12 +116,12 @@
             after: entry.after,
             chain: ContentDigest::default(),
         };
-        record.chain = record.chained(self.chain);
+        record.chain = record.chain_after(self.chain);
         assert!(record.time_ms >= self.last_ms, "logged time fell");
         self.last = record.sequence;
         self.last_ms = record.time_ms;
         self.chain = record.chain;
-        if self.records.len() == MAX_RECORDS {
+        if self.records.len() == MAX_AUDIT_RECORDS {
             self.records.pop_front();
         }
         self.records.push_back(record);
--- a/crates/quay_config/src/check.rs
+++ b/crates/quay_config/src/check.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        Account, Config, ConfigError, Document, KeyDigest, Model, PLATFORM, QuarantineRules,
-        Service, UpstreamClass,
+        Account, Config, ConfigError, Document, KeyDigest, Model, PLATFORM_SECTION,
+        QuarantineRules, Service, UpstreamClass,
         error::Place,
         schema::{
             AccountTable, LimitsTable, PlatformFile, PlatformSection, ServiceTable, TeamSection,
@@ -43,12 +43,18 @@
 /// Every fault that was found, each with section, key and line.
 pub fn check(document: &Document) -> Result<Config, Vec<ConfigError>> {
     let mut checker = Checker::default();
-    let Some(place) = document.places().find(|place| place.section == PLATFORM) else {
+    let Some(place) = document
+        .places()
+        .find(|place| place.section == PLATFORM_SECTION)
+    else {
         return Err(vec![missing_platform()]);
     };
     let platform: PlatformFile = read(&place).map_err(|err| vec![err])?;
     let mut config = checker.platform(&place, platform.platform);
-    for place in document.places().filter(|place| place.section != PLATFORM) {
+    for place in document
+        .places()
+        .filter(|place| place.section != PLATFORM_SECTION)
+    {
         checker.team(&place, &mut config);
     }
     if checker.faults.is_empty() {
@@ -61,8 +67,8 @@
 /// The fault of a document without its first section.
 fn missing_platform() -> ConfigError {
     ConfigError {
-        section: PLATFORM.into(),
-        key: PLATFORM.into(),
+        section: PLATFORM_SECTION.into(),
+        key: PLATFORM_SECTION.into(),
         line: 1,
         message: "the document has no platform section, which names the owners".into(),
     }
@@ -126,7 +132,7 @@
         let lapse_s = section.quarantine.lapse_s.as_ref();
         let quarantine = QuarantineRules {
             crashes: self.positive(place, crashes, QUARANTINE_CRASHES),
-            lapse: seconds(self.positive(place, lapse_s, QUARANTINE_LAPSE_S)),
+            duration: seconds(self.positive(place, lapse_s, QUARANTINE_LAPSE_S)),
         };
         let mut config = Config {
             owners: IndexMap::new(),
@@ -171,7 +177,7 @@
             }
             config.owners.insert(section.into_inner(), authors.into());
         }
-        if !config.owners.contains_key(PLATFORM) {
+        if !config.owners.contains_key(PLATFORM_SECTION) {
             let fault = place.fault_of_section("platform.owners names no owner of platform");
             self.faults.push(fault);
         }
@@ -248,7 +254,9 @@
             let message = "must be the SHA-256 of the key in 64 hexadecimal digits";
             return self.fault(place, text.span(), message);
         };
-        let earlier = config.keys.insert(digest.slot(), (digest, account));
+        let earlier = config
+            .keys
+            .insert(digest.lookup_prefix(), (digest, account));
         if earlier.is_some() {
             self.fault(place, text.span(), "another account has this key");
         }
--- a/crates/quay_config/src/command.rs
+++ b/crates/quay_config/src/command.rs
@@ -19,7 +19,7 @@
 
 /// What a change was made from.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Base {
+pub struct SectionRevision {
     /// Version of the section; 0 if it did not exist.
     pub version: u64,
     /// Digest of the section's text; zero if it did not exist.
@@ -39,13 +39,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Action {
     /// Set the first document of a new group.
-    Found(Box<str>),
+    Bootstrap(Box<str>),
     /// Give a section a new text.
     Change {
         /// Name of the section.
         section: Box<str>,
         /// What the new text was made from.
-        base: Base,
+        base: SectionRevision,
         /// The new text.
         text: Box<str>,
     },
@@ -56,26 +56,26 @@
     /// Do not run content until the given time in milliseconds.
     Quarantine(ContentDigest, u64),
     /// Run content again; `None` clears the whole list.
-    Clear(Option<ContentDigest>),
+    ClearQuarantine(Option<ContentDigest>),
 }
 
 impl fmt::Display for Action {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Found(_) => f.write_str("found"),
+            Self::Bootstrap(_) => f.write_str("found"),
             Self::Change { section, .. } => write!(f, "change {section}"),
             Self::Drain(name) => write!(f, "drain {name}"),
             Self::Undrain(name) => write!(f, "undrain {name}"),
             Self::Quarantine(digest, _) => write!(f, "quarantine {digest}"),
-            Self::Clear(Some(digest)) => write!(f, "clear {digest}"),
-            Self::Clear(None) => f.write_str("clear all"),
+            Self::ClearQuarantine(Some(digest)) => write!(f, "clear {digest}"),
+            Self::ClearQuarantine(None) => f.write_str("clear all"),
         }
     }
 }
 
 /// A request to change something: the control group's command.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Order {
+pub struct ConfigCommand {
     /// Identity across resends.
     pub id: ChangeId,
     /// Who asks.
@@ -101,8 +101,8 @@
     pub digest: ContentDigest,
 }
 
-/// Answer to an [`Order`].
-pub type OrderReply = Result<Accepted, Refusal>;
+/// Answer to a [`ConfigCommand`].
+pub type ConfigReply = Result<Accepted, Refusal>;
 
 /// Asks without changing anything.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -110,7 +110,7 @@
     /// What a subscriber misses.
     Poll(Poll),
     /// Whether an order would be carried out; leaves no trace.
-    DryRun(Box<Order>),
+    DryRun(Box<ConfigCommand>),
     /// Everything in force.
     Image,
     /// Records of the audit trail after a sequence number.
@@ -126,11 +126,11 @@
 
 /// One section in short.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SectionView {
+pub struct SectionSummary {
     /// Name of the section.
     pub name: Box<str>,
     /// Its version and digest.
-    pub base: Base,
+    pub revision: SectionRevision,
     /// Who set it.
     pub author: Box<str>,
     /// When it was set, in milliseconds since the Unix epoch.
@@ -145,7 +145,7 @@
     /// Index in force.
     pub index: ConfigIndex,
     /// The sections.
-    pub sections: Box<[SectionView]>,
+    pub sections: Box<[SectionSummary]>,
     /// Sequence of the last audit record.
     pub audit: u64,
 }
@@ -156,7 +156,7 @@
     /// Answer to `Poll`.
     Update(Update),
     /// Answer to `DryRun`.
-    DryRun(OrderReply),
+    DryRun(ConfigReply),
     /// Answer to `Image`.
     Image(Box<Image>),
     /// Answer to `Audit`.
--- a/crates/quay_config/src/config.rs
+++ b/crates/quay_config/src/config.rs
@@ -36,7 +36,7 @@
 
     /// The first eight bytes, by which digests are looked up.
     #[must_use]
-    pub fn slot(&self) -> u64 {
+    pub fn lookup_prefix(&self) -> u64 {
         let mut slot = [0; 8];
         slot.copy_from_slice(&self.0[..8]);
         u64::from_be_bytes(slot)
@@ -131,7 +131,7 @@
     /// Crashes after which content is quarantined.
     pub crashes: u32,
     /// How long it stays so.
-    pub lapse: Duration,
+    pub duration: Duration,
 }
 
 /// A document that passed every check.
@@ -149,7 +149,7 @@
     pub quarantine: QuarantineRules,
     /// Accounts by key.
     pub accounts: IndexMap<AccountId, Account>,
-    /// Key digests by [`KeyDigest::slot`]; each slot occurs once.
+    /// Key digests by [`KeyDigest::lookup_prefix`]; each slot occurs once.
     pub(crate) keys: IndexMap<u64, (KeyDigest, AccountId)>,
     /// Plain services by key.
     pub services: IndexMap<ServiceId, Service>,
@@ -160,7 +160,7 @@
     #[must_use]
     pub fn account_of(&self, bearer: &str) -> Option<AccountId> {
         let digest = KeyDigest::of(bearer);
-        let (known, account) = self.keys.get(&digest.slot())?;
+        let (known, account) = self.keys.get(&digest.lookup_prefix())?;
         known.matches(&digest).then_some(*account)
     }
 
--- a/crates/quay_config/src/document.rs
+++ b/crates/quay_config/src/document.rs
@@ -7,7 +7,7 @@
 };
 
 /// Section that names the owners of every section.
-pub const PLATFORM: &str = "platform";
+pub const PLATFORM_SECTION: &str = "platform";
 
 /// Largest document that is accepted, in bytes.
 pub const MAX_DOCUMENT_BYTES: usize = 4 << 20;
--- a/crates/quay_config/src/image.rs
+++ b/crates/quay_config/src/image.rs
@@ -78,7 +78,7 @@
     /// Content is not run any more.
     Quarantine(ContentDigest, QuarantineMark),
     /// Content runs again.
-    Clear(Box<[ContentDigest]>),
+    ClearQuarantine(Box<[ContentDigest]>),
 }
 
 /// Why a step does not fit an image.
@@ -87,14 +87,14 @@
     /// The step is not the next one.
     OutOfOrder,
     /// The section's text differs from the one that the step was made from.
-    OtherText,
+    BaseMismatch,
 }
 
 impl fmt::Display for StepError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::OutOfOrder => f.write_str("a step is missing"),
-            Self::OtherText => f.write_str("the step does not fit the section's text"),
+            Self::BaseMismatch => f.write_str("the step does not fit the section's text"),
         }
     }
 }
@@ -153,7 +153,7 @@
             StepChange::Quarantine(digest, mark) => {
                 self.quarantined.insert(*digest, *mark);
             }
-            StepChange::Clear(digests) => {
+            StepChange::ClearQuarantine(digests) => {
                 self.quarantined
                     .retain(|digest, _| !digests.contains(digest));
             }
@@ -172,9 +172,9 @@
     ) -> Result<(), StepError> {
         let old = self.sections.get(name);
         let (old_version, old_text) = old.map_or((0, ""), |old| (old.version, &*old.text));
-        let text = patch.apply(old_text).ok_or(StepError::OtherText)?;
+        let text = patch.apply(old_text).ok_or(StepError::BaseMismatch)?;
         if version != old_version + 1 || Document::digest(name, &text) != digest {
-            return Err(StepError::OtherText);
+            return Err(StepError::BaseMismatch);
         }
         let section = SectionImage {
             version,
--- a/crates/quay_config/src/lib.rs
+++ b/crates/quay_config/src/lib.rs
@@ -19,30 +19,30 @@
 mod config;
 mod document;
 mod error;
-mod feed;
-mod floor;
 mod image;
+mod min_config_index;
 mod patch;
 mod refusal;
 mod schema;
+mod step_history;
 mod store;
 mod subscriber;
 
 pub use {
-    audit::{AuditRecord, AuditTrail, MAX_RECORDS},
+    audit::{AuditRecord, AuditTrail, MAX_AUDIT_RECORDS},
     check::check,
     command::{
-        Accepted, Action, Base, ChangeId, ConfigAnswer, ConfigQuery, Order, OrderReply, Origin,
-        SectionView, StoreStatus,
+        Accepted, Action, ChangeId, ConfigAnswer, ConfigCommand, ConfigQuery, ConfigReply, Origin,
+        SectionRevision, SectionSummary, StoreStatus,
     },
     config::{Account, Config, KeyDigest, Model, QuarantineRules, Service, UpstreamClass},
-    document::{Document, MAX_DOCUMENT_BYTES, PLATFORM},
+    document::{Document, MAX_DOCUMENT_BYTES, PLATFORM_SECTION},
     error::ConfigError,
-    feed::{Feed, MAX_STEPS, Poll, Update},
-    floor::Floor,
     image::{DrainMark, Image, QuarantineMark, SectionImage, Step, StepChange, StepError},
+    min_config_index::MinConfigIndex,
     patch::TextPatch,
     refusal::{Conflict, Refusal, line_diff},
+    step_history::{MAX_HISTORY_STEPS, Poll, StepHistory, Update},
     store::{ConfigSnapshot, ConfigStore},
     subscriber::{Subscriber, SubscriberEvent},
 };
--- a/crates/quay_config/src/floor.rs
+++ b/crates/quay_config/src/min_config_index.rs
@@ -14,7 +14,7 @@
 /// change, so it never refuses early, and a host whose clock is wrong judges
 /// like every other.
 #[derive(Debug)]
-pub struct Floor {
+pub struct MinConfigIndex {
     grace: Duration,
     /// Indexes and when they were learned; both rise.
     learned: VecDeque<(ConfigIndex, Time)>,
@@ -22,7 +22,7 @@
     oldest: ConfigIndex,
 }
 
-impl Floor {
+impl MinConfigIndex {
     /// A floor that takes everything until it learns of an index.
     #[must_use]
     pub const fn new(grace: Duration) -> Self {
@@ -39,7 +39,7 @@
     }
 
     /// Learns that an index is in force.
-    pub fn learn(&mut self, now: Time, index: ConfigIndex) {
+    pub fn observe(&mut self, now: Time, index: ConfigIndex) {
         let newest = self.learned.back().map_or(self.oldest, |(index, _)| *index);
         if index <= newest {
             return;
@@ -51,7 +51,7 @@
     }
 
     /// The oldest index that work may be begun under now.
-    pub fn oldest(&mut self, now: Time) -> ConfigIndex {
+    pub fn minimum(&mut self, now: Time) -> ConfigIndex {
         while let Some((index, at)) = self.learned.front().copied() {
             if now.since(at) < self.grace {
                 break;
@@ -69,7 +69,7 @@
     ///
     /// [`ErrorKind::ConfigStale`]: the work did not run.
     pub fn check(&mut self, now: Time, index: ConfigIndex) -> Result<(), Error> {
-        let oldest = self.oldest(now);
+        let oldest = self.minimum(now);
         if index >= oldest {
             return Ok(());
         }
--- a/crates/quay_config/src/refusal.rs
+++ b/crates/quay_config/src/refusal.rs
@@ -75,7 +75,7 @@
     /// The upstream has no drain mark.
     NotDrained(Box<str>),
     /// The list of marks is full.
-    Full,
+    TooManyMarks,
     /// A name or cause is empty or too long.
     Malformed(Box<str>),
 }
@@ -121,7 +121,7 @@
             Self::NoDocument => f.write_str("no document is in force yet"),
             Self::DocumentExists => f.write_str("a document is in force already"),
             Self::NotDrained(name) => write!(f, "upstream {name} has no drain mark"),
-            Self::Full => f.write_str("the list of marks is full"),
+            Self::TooManyMarks => f.write_str("the list of marks is full"),
             Self::Malformed(what) => write!(f, "malformed: {what}"),
         }
     }
--- a/crates/quay_config/src/feed.rs
+++ b/crates/quay_config/src/step_history.rs
@@ -8,7 +8,7 @@
 };
 
 /// Steps that are kept; a subscriber further behind takes a snapshot.
-pub const MAX_STEPS: usize = 256;
+pub const MAX_HISTORY_STEPS: usize = 256;
 
 /// What a subscriber says of itself.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -16,7 +16,7 @@
     /// Index that it holds; 0 before the first document.
     pub index: ConfigIndex,
     /// Whether it needs everything, since a step did not fit.
-    pub whole: bool,
+    pub full: bool,
 }
 
 /// What a subscriber misses.
@@ -41,12 +41,12 @@
 
 /// The latest steps.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Feed {
+pub struct StepHistory {
     /// Indexes rise by one from step to step and end at the one in force.
     steps: VecDeque<Kept>,
 }
 
-impl Feed {
+impl StepHistory {
     /// Adds the step that was just taken.
     pub(crate) fn push(&mut self, step: Step) {
         if let Some(last) = self.steps.back() {
@@ -54,7 +54,7 @@
         }
         let bytes = encoded_bytes(&step);
         self.steps.push_back(Kept { step, bytes });
-        if self.steps.len() > MAX_STEPS {
+        if self.steps.len() > MAX_HISTORY_STEPS {
             self.steps.pop_front();
         }
     }
@@ -66,7 +66,7 @@
         if image.index == ConfigIndex(0) {
             return Update::Empty;
         }
-        if poll.index >= image.index && !poll.whole {
+        if poll.index >= image.index && !poll.full {
             return Update::Current(image.index);
         }
         match self.steps_after(poll, image) {
@@ -79,7 +79,7 @@
     fn steps_after(&self, poll: Poll, image: &Image) -> Option<Box<[Step]>> {
         let missing = image.index.0.checked_sub(poll.index.0)?;
         let missing = usize::try_from(missing).ok()?;
-        if poll.whole || poll.index == ConfigIndex(0) || missing > self.steps.len() {
+        if poll.full || poll.index == ConfigIndex(0) || missing > self.steps.len() {
             return None;
         }
         let tail = || self.steps.iter().skip(self.steps.len() - missing);
--- a/crates/quay_config/src/store.rs
+++ b/crates/quay_config/src/store.rs
@@ -2,10 +2,10 @@
 
 use {
     crate::{
-        Accepted, Action, AuditTrail, Base, ChangeId, Config, ConfigAnswer, ConfigQuery, Conflict,
-        Document, DrainMark, Feed, Image, Order, OrderReply, Origin, PLATFORM, QuarantineMark,
-        Refusal, SectionView, Step, StepChange, StoreStatus, TextPatch, audit::Entry, check,
-        refusal::bounded_diff,
+        Accepted, Action, AuditTrail, ChangeId, Config, ConfigAnswer, ConfigCommand, ConfigQuery,
+        ConfigReply, Conflict, Document, DrainMark, Image, Origin, PLATFORM_SECTION,
+        QuarantineMark, Refusal, SectionRevision, SectionSummary, Step, StepChange, StepHistory,
+        StoreStatus, TextPatch, audit::Entry, check, refusal::bounded_diff,
     },
     indexmap::IndexMap,
     quay_quorum::StateMachine,
@@ -44,7 +44,7 @@
 struct Answered {
     /// Digest of author and action, so that an id is not used for two requests.
     request: ContentDigest,
-    reply: OrderReply,
+    reply: ConfigReply,
 }
 
 /// Everything that a replica holds.
@@ -54,7 +54,7 @@
     set_by: IndexMap<Box<str>, Origination>,
     answers: IndexMap<ChangeId, Answered>,
     trail: AuditTrail,
-    feed: Feed,
+    feed: StepHistory,
 }
 
 /// Configuration, marks and audit trail of the whole system.
@@ -88,12 +88,12 @@
 
     /// The audit trail.
     #[must_use]
-    pub const fn trail(&self) -> &AuditTrail {
+    pub const fn audit_trail(&self) -> &AuditTrail {
         &self.state.trail
     }
 
     /// Carries out an order, or refuses it; either way it is recorded.
-    fn order(&mut self, order: &Order) -> OrderReply {
+    fn order(&mut self, order: &ConfigCommand) -> ConfigReply {
         let before = self.state.image.digest();
         if let Err(refusal) = well_formed(order) {
             // Only the clipped record is kept: the order's size has no bound.
@@ -113,7 +113,7 @@
     }
 
     /// Keeps the first answer.
-    fn remember(&mut self, order: &Order, request: ContentDigest, reply: &OrderReply) {
+    fn remember(&mut self, order: &ConfigCommand, request: ContentDigest, reply: &ConfigReply) {
         let answered = Answered {
             request,
             reply: reply.clone(),
@@ -148,7 +148,12 @@
     }
 
     /// Writes an attempt to the audit trail.
-    fn record(&mut self, order: &Order, before: ContentDigest, reply: OrderReply) -> OrderReply {
+    fn record(
+        &mut self,
+        order: &ConfigCommand,
+        before: ContentDigest,
+        reply: ConfigReply,
+    ) -> ConfigReply {
         let time_ms = self.logged_time(order);
         let (before, after) = digests(order, &reply, before);
         if let (Ok(_), Action::Change { section, .. }) = (&reply, &order.action) {
@@ -173,7 +178,7 @@
     }
 
     /// The time that is logged: a new leader's clock may be behind.
-    fn logged_time(&self, order: &Order) -> u64 {
+    fn logged_time(&self, order: &ConfigCommand) -> u64 {
         order.time_ms.max(self.state.trail.last_ms())
     }
 
@@ -181,10 +186,10 @@
     // Decisions
 
     /// Whether an order may be carried out, and its steps.
-    fn decide(&self, order: &Order) -> Result<Verdict, Refusal> {
+    fn decide(&self, order: &ConfigCommand) -> Result<Verdict, Refusal> {
         self.allowed(order)?;
         match &order.action {
-            Action::Found(text) => self.found(text),
+            Action::Bootstrap(text) => self.found(text),
             Action::Change {
                 section,
                 base,
@@ -193,14 +198,14 @@
             Action::Drain(name) => self.drain(order, name),
             Action::Undrain(name) => self.undrain(name),
             Action::Quarantine(digest, until_ms) => self.quarantine(order, *digest, *until_ms),
-            Action::Clear(digest) => Ok(self.clear(*digest)),
+            Action::ClearQuarantine(digest) => Ok(self.clear(*digest)),
         }
     }
 
     /// Whether the author may ask for this.
-    fn allowed(&self, order: &Order) -> Result<(), Refusal> {
+    fn allowed(&self, order: &ConfigCommand) -> Result<(), Refusal> {
         let origin = match &order.action {
-            Action::Found(_) | Action::Quarantine(..) => Origin::Process,
+            Action::Bootstrap(_) | Action::Quarantine(..) => Origin::Process,
             _ => Origin::Operator,
         };
         if order.origin != origin {
@@ -242,10 +247,10 @@
     }
 
     /// Decides on a section's new text.
-    fn change(&self, section: &str, base: Base, text: &str) -> Result<Verdict, Refusal> {
+    fn change(&self, section: &str, base: SectionRevision, text: &str) -> Result<Verdict, Refusal> {
         let old = self.state.image.sections.get(section);
-        let (current, old_text) = old.map_or((Base::default(), ""), |old| {
-            let current = Base {
+        let (current, old_text) = old.map_or((SectionRevision::default(), ""), |old| {
+            let current = SectionRevision {
                 version: old.version,
                 digest: old.digest,
             };
@@ -266,7 +271,13 @@
     }
 
     /// Shows both contents that claim a place.
-    fn conflict(&self, section: &str, base: Base, current: Base, refused: &str) -> Refusal {
+    fn conflict(
+        &self,
+        section: &str,
+        base: SectionRevision,
+        current: SectionRevision,
+        refused: &str,
+    ) -> Refusal {
         let text = self.state.image.sections.get(section);
         let author = self.state.set_by.get(section);
         Refusal::Conflict(Box::new(Conflict {
@@ -281,13 +292,13 @@
     }
 
     /// Decides on a drain mark; a second mark changes nothing.
-    fn drain(&self, order: &Order, name: &str) -> Result<Verdict, Refusal> {
+    fn drain(&self, order: &ConfigCommand, name: &str) -> Result<Verdict, Refusal> {
         let drained = &self.state.image.drained;
         if drained.contains_key(name) {
             return Ok(self.marks(Vec::new()));
         }
         if drained.len() >= MAX_DRAINED {
-            return Err(Refusal::Full);
+            return Err(Refusal::TooManyMarks);
         }
         let mark = DrainMark {
             author: order.author.clone(),
@@ -308,7 +319,7 @@
     /// Decides on quarantine; lapsed marks make room.
     fn quarantine(
         &self,
-        order: &Order,
+        order: &ConfigCommand,
         digest: ContentDigest,
         until_ms: u64,
     ) -> Result<Verdict, Refusal> {
@@ -320,11 +331,11 @@
             .map(|(digest, _)| *digest)
             .collect();
         if marks.len() - lapsed.len() >= MAX_QUARANTINED && !marks.contains_key(&digest) {
-            return Err(Refusal::Full);
+            return Err(Refusal::TooManyMarks);
         }
         let mut steps = Vec::new();
         if !lapsed.is_empty() {
-            steps.push(StepChange::Clear(lapsed));
+            steps.push(StepChange::ClearQuarantine(lapsed));
         }
         // A later mark never shortens an earlier one.
         let known = marks.get(&digest).map_or(0, |mark| mark.until_ms);
@@ -343,7 +354,7 @@
         let steps = if cleared.is_empty() {
             Vec::new()
         } else {
-            vec![StepChange::Clear(cleared)]
+            vec![StepChange::ClearQuarantine(cleared)]
         };
         self.marks(steps)
     }
@@ -371,7 +382,7 @@
     // Queries
 
     /// Whether an order would be carried out.
-    fn dry_run(&self, order: &Order) -> OrderReply {
+    fn dry_run(&self, order: &ConfigCommand) -> ConfigReply {
         well_formed(order)?;
         let verdict = self.decide(order)?;
         let index = self.state.image.index.0 + verdict.steps.len() as u64;
@@ -390,9 +401,9 @@
         };
         let sections = self.state.image.sections.iter().map(|(name, section)| {
             let by = self.state.set_by.get(name);
-            SectionView {
+            SectionSummary {
                 name: name.clone(),
-                base: Base {
+                revision: SectionRevision {
                     version: section.version,
                     digest: section.digest,
                 },
@@ -410,13 +421,13 @@
 }
 
 impl StateMachine for ConfigStore {
-    type Command = Order;
-    type Reply = OrderReply;
+    type Command = ConfigCommand;
+    type Reply = ConfigReply;
     type Query = ConfigQuery;
     type Answer = ConfigAnswer;
     type Snapshot = ConfigSnapshot;
 
-    fn apply(&mut self, _: LogIndex, _: Epoch, order: Order) -> OrderReply {
+    fn apply(&mut self, _: LogIndex, _: Epoch, order: ConfigCommand) -> ConfigReply {
         self.order(&order)
     }
 
@@ -440,7 +451,7 @@
     }
 
     fn restore(&mut self, snapshot: ConfigSnapshot) {
-        self.config = if snapshot.image.sections.contains_key(PLATFORM) {
+        self.config = if snapshot.image.sections.contains_key(PLATFORM_SECTION) {
             let checked = check(&snapshot.image.document());
             // A replica that judges by other rules than its peers must stop:
             // it would refuse what they accept.
@@ -467,14 +478,14 @@
 }
 
 /// Digest of what a request asks for, without its time.
-fn request_digest(order: &Order) -> ContentDigest {
+fn request_digest(order: &ConfigCommand) -> ContentDigest {
     // An action holds only what postcard can encode.
     let action = postcard::to_stdvec(&order.action).unwrap_or_default();
     ContentDigest::of(&[order.author.as_bytes(), &action])
 }
 
 /// Bounds the size of what an order leaves behind.
-fn well_formed(order: &Order) -> Result<(), Refusal> {
+fn well_formed(order: &ConfigCommand) -> Result<(), Refusal> {
     let name = match &order.action {
         Action::Change { section, .. } => section,
         Action::Drain(name) | Action::Undrain(name) => name,
@@ -494,7 +505,7 @@
         return Err(Refusal::Malformed("cause".into()));
     }
     match &order.action {
-        Action::Found(text) | Action::Change { text, .. }
+        Action::Bootstrap(text) | Action::Change { text, .. }
             if text.len() > crate::MAX_DOCUMENT_BYTES =>
         {
             Err(Refusal::Malformed("text is too long".into()))
@@ -505,8 +516,8 @@
 
 /// Digests before and after, as the audit trail tells them.
 fn digests(
-    order: &Order,
-    reply: &OrderReply,
+    order: &ConfigCommand,
+    reply: &ConfigReply,
     before: ContentDigest,
 ) -> (ContentDigest, ContentDigest) {
     match (&order.action, reply) {
--- a/crates/quay_config/src/subscriber.rs
+++ b/crates/quay_config/src/subscriber.rs
@@ -12,16 +12,16 @@
     /// Nothing new.
     Unchanged,
     /// A newer index is in force here.
-    InForce(ConfigIndex),
+    Activated(ConfigIndex),
     /// The update is older than what is in force here, and was not taken.
-    Older(ConfigIndex),
+    Stale(ConfigIndex),
     /// A step did not fit; the next poll asks for everything.
     Resync,
     /// The document does not pass this program's checks: it is likely newer
     /// than the program. What was in force stays.
-    Unusable(Box<str>),
+    Invalid(Box<str>),
     /// There is no document yet.
-    Empty,
+    NoDocument,
     /// The first document must come from a confirmed read, and this was none.
     Unconfirmed,
 }
@@ -36,7 +36,7 @@
     /// Whether the next poll asks for everything.
     resync: bool,
     /// Why no newer index is in force.
-    waits: Box<str>,
+    blocked_reason: Box<str>,
 }
 
 impl Default for Subscriber {
@@ -45,7 +45,7 @@
             image: Image::default(),
             config: None,
             resync: false,
-            waits: "no ledger host was asked yet".into(),
+            blocked_reason: "no ledger host was asked yet".into(),
         }
     }
 }
@@ -56,7 +56,7 @@
     pub const fn poll(&self) -> Poll {
         Poll {
             index: self.image.index,
-            whole: self.resync,
+            full: self.resync,
         }
     }
 
@@ -74,34 +74,34 @@
 
     /// Why nothing newer is in force; empty while all is well.
     #[must_use]
-    pub fn waits(&self) -> &str {
-        &self.waits
+    pub fn blocked_reason(&self) -> &str {
+        &self.blocked_reason
     }
 
     /// Notes that nobody answered, and why.
-    pub fn unanswered(&mut self, why: impl fmt::Display) {
-        self.waits = why.to_string().into();
+    pub fn record_no_answer(&mut self, why: impl fmt::Display) {
+        self.blocked_reason = why.to_string().into();
     }
 
     /// Takes an update. `confirmed` tells that a quorum confirmed it as current.
     pub fn receive(&mut self, update: Update, confirmed: bool) -> SubscriberEvent {
         let before = self.image.index;
         if before == ConfigIndex(0) && !confirmed {
-            self.waits = "the answer was not confirmed by a quorum".into();
+            self.blocked_reason = "the answer was not confirmed by a quorum".into();
             return SubscriberEvent::Unconfirmed;
         }
         let event = match update {
-            Update::Current(index) if index < before => SubscriberEvent::Older(index),
+            Update::Current(index) if index < before => SubscriberEvent::Stale(index),
             Update::Current(_) => SubscriberEvent::Unchanged,
-            Update::Empty => SubscriberEvent::Empty,
-            Update::Snapshot(image) if image.index < before => SubscriberEvent::Older(image.index),
+            Update::Empty => SubscriberEvent::NoDocument,
+            Update::Snapshot(image) if image.index < before => SubscriberEvent::Stale(image.index),
             Update::Snapshot(image) => self.replace(*image),
             Update::Steps(steps) => self.walk(&steps),
         };
         assert!(self.image.index >= before, "the configuration reverted");
-        self.waits = match &event {
-            SubscriberEvent::Empty => "the group has no document yet".into(),
-            SubscriberEvent::Unusable(why) => why.clone(),
+        self.blocked_reason = match &event {
+            SubscriberEvent::NoDocument => "the group has no document yet".into(),
+            SubscriberEvent::Invalid(why) => why.clone(),
             _ => Box::default(),
         };
         event
@@ -126,13 +126,13 @@
     fn replace(&mut self, image: Image) -> SubscriberEvent {
         let config = match check(&image.document()) {
             Ok(config) => config,
-            Err(faults) => return SubscriberEvent::Unusable(unusable(&image, &faults)),
+            Err(faults) => return SubscriberEvent::Invalid(unusable(&image, &faults)),
         };
         let index = image.index;
         self.image = image;
         self.config = Some(Arc::new(config));
         self.resync = false;
-        SubscriberEvent::InForce(index)
+        SubscriberEvent::Activated(index)
     }
 }
 
--- a/crates/quay_config/tests/common/mod.rs
+++ b/crates/quay_config/tests/common/mod.rs
@@ -3,8 +3,8 @@
 
 use {
     quay_config::{
-        Action, Base, ChangeId, ConfigAnswer, ConfigQuery, ConfigStore, Order, OrderReply, Origin,
-        Poll, Update,
+        Action, ChangeId, ConfigAnswer, ConfigCommand, ConfigQuery, ConfigReply, ConfigStore,
+        Origin, Poll, SectionRevision, Update,
     },
     quay_quorum::StateMachine as _,
     quay_types::{Epoch, LogIndex},
@@ -36,12 +36,12 @@
 "#;
 
 /// An order of `author`, whose id is `id`.
-pub fn order(id: &str, author: &str, action: Action) -> Order {
+pub fn order(id: &str, author: &str, action: Action) -> ConfigCommand {
     let origin = match action {
-        Action::Found(_) | Action::Quarantine(..) => Origin::Process,
+        Action::Bootstrap(_) | Action::Quarantine(..) => Origin::Process,
         _ => Origin::Operator,
     };
-    Order {
+    ConfigCommand {
         id: ChangeId(id.into()),
         author: author.into(),
         origin,
@@ -51,21 +51,21 @@
     }
 }
 
-pub fn apply(store: &mut ConfigStore, order: Order) -> OrderReply {
+pub fn apply(store: &mut ConfigStore, order: ConfigCommand) -> ConfigReply {
     store.apply(LogIndex(1), Epoch(1), order)
 }
 
 /// A store with [`DOCUMENT`] in force.
 pub fn founded() -> ConfigStore {
     let mut store = ConfigStore::default();
-    let found = order("found", "ledger-1", Action::Found(DOCUMENT.into()));
+    let found = order("found", "ledger-1", Action::Bootstrap(DOCUMENT.into()));
     apply(&mut store, found).expect("document");
     store
 }
 
-pub fn base(store: &ConfigStore, section: &str) -> Base {
+pub fn base(store: &ConfigStore, section: &str) -> SectionRevision {
     let section = &store.image().sections[section];
-    Base {
+    SectionRevision {
         version: section.version,
         digest: section.digest,
     }
@@ -76,7 +76,13 @@
 }
 
 /// A change of `section` from what is in force.
-pub fn change(store: &ConfigStore, id: &str, author: &str, section: &str, text: &str) -> Order {
+pub fn change(
+    store: &ConfigStore,
+    id: &str,
+    author: &str,
+    section: &str,
+    text: &str,
+) -> ConfigCommand {
     let action = Action::Change {
         section: section.into(),
         base: base(store, section),
@@ -86,7 +92,7 @@
 }
 
 /// Sets the weight of shop-12.
-pub fn weigh(store: &mut ConfigStore, id: &str, weight: u32) -> OrderReply {
+pub fn weigh(store: &mut ConfigStore, id: &str, weight: u32) -> ConfigReply {
     let text: Vec<String> = text(store, "ordering")
         .lines()
         .map(|line| {
--- a/crates/quay_config/tests/store.rs
+++ b/crates/quay_config/tests/store.rs
@@ -6,8 +6,8 @@
     common::{DOCUMENT, apply, base, change, founded, order, text, weigh},
     proptest::prelude::*,
     quay_config::{
-        Action, AuditRecord, Base, ConfigAnswer, ConfigQuery, ConfigSnapshot, ConfigStore, Order,
-        Origin, Refusal,
+        Action, AuditRecord, ConfigAnswer, ConfigCommand, ConfigQuery, ConfigSnapshot, ConfigStore,
+        Origin, Refusal, SectionRevision,
     },
     quay_quorum::StateMachine as _,
     quay_types::{ConfigIndex, ContentDigest},
@@ -60,7 +60,7 @@
     let mut other = ConfigStore::default();
     other.restore(postcard::from_bytes(&bytes).expect("snapshot"));
     for store in [&mut store, &mut other] {
-        let resent = Order {
+        let resent = ConfigCommand {
             time_ms: 9_000,
             ..sent.clone()
         };
@@ -81,7 +81,7 @@
     assert_eq!(refused.to_string(), "ada does not own section haulage");
     let stranger = order("c-2", "eve", Action::Drain("engine-1".into()));
     assert!(apply(&mut store, stranger).is_err());
-    let posing = Order {
+    let posing = ConfigCommand {
         origin: Origin::Process,
         ..order("c-3", "root", Action::Drain("engine-1".into()))
     };
@@ -99,7 +99,7 @@
     assert!(records.iter().all(|record| record.author.len() <= 512));
     let mut chain = ContentDigest::default();
     for record in &records {
-        assert_eq!(record.chained(chain), record.chain);
+        assert_eq!(record.chain_after(chain), record.chain);
         chain = record.chain;
     }
 }
@@ -117,7 +117,7 @@
     let order = change(&store, "c-2", "bruno", "haulage", &both);
     let refused = apply(&mut store, order).expect_err("invalid").to_string();
     assert!(refused.contains("can't be set here"), "{refused}");
-    let again = common::order("c-3", "ledger-2", Action::Found(DOCUMENT.into()));
+    let again = common::order("c-3", "ledger-2", Action::Bootstrap(DOCUMENT.into()));
     assert_eq!(apply(&mut store, again), Err(Refusal::DocumentExists));
 }
 
@@ -139,7 +139,7 @@
 fn quarantine_lapses_is_cleared_and_never_shortened() {
     let mut store = founded();
     let digest = |n: u8| ContentDigest::of(&[&[n]]);
-    let at = |id: &str, n, until_ms, time_ms| Order {
+    let at = |id: &str, n, until_ms, time_ms| ConfigCommand {
         time_ms,
         ..order(id, "entry-1", Action::Quarantine(digest(n), until_ms))
     };
@@ -149,7 +149,11 @@
     apply(&mut store, at("q-3", 2, 9_000, 6_000)).expect("mark");
     let left: Vec<_> = store.image().quarantined.keys().copied().collect();
     assert_eq!(left, [digest(2)]);
-    apply(&mut store, order("q-4", "ada", Action::Clear(None))).expect("clear");
+    apply(
+        &mut store,
+        order("q-4", "ada", Action::ClearQuarantine(None)),
+    )
+    .expect("clear");
     assert!(store.image().quarantined.is_empty());
     // A leader whose clock is behind does not turn the trail's time back.
     let times: Vec<_> = audit(&store).iter().map(|record| record.time_ms).collect();
@@ -163,7 +167,7 @@
     for n in 0..1_500 {
         let action = Action::Change {
             section: "ordering".into(),
-            base: Base::default(),
+            base: SectionRevision::default(),
             text: long.clone().into(),
         };
         let refused = apply(&mut store, order(&format!("c-{n}"), "ada", action));
@@ -180,7 +184,7 @@
     #[test]
     fn bytes_from_outside_do_not_panic(bytes: Vec<u8>) {
         let mut store = founded();
-        if let Ok(order) = postcard::from_bytes::<Order>(&bytes) {
+        if let Ok(order) = postcard::from_bytes::<ConfigCommand>(&bytes) {
             let _ = apply(&mut store, order);
         }
         if let Ok(query) = postcard::from_bytes::<ConfigQuery>(&bytes) {
@@ -202,7 +206,7 @@
                 0 => Action::Drain(format!("engine-{number}").into()),
                 1 => Action::Undrain(format!("engine-{number}").into()),
                 2 => Action::Quarantine(ContentDigest::of(&[&[*what]]), u64::from(*number) * 2_000),
-                3 => Action::Clear(None),
+                3 => Action::ClearQuarantine(None),
                 _ => Action::Change {
                     section: "ordering".into(),
                     base: base(&one, "ordering"),
--- a/crates/quay_config/tests/subscriber.rs
+++ b/crates/quay_config/tests/subscriber.rs
@@ -6,8 +6,8 @@
     common::{apply, founded, order, poll, weigh},
     proptest::prelude::*,
     quay_config::{
-        Action, ConfigStore, Document, Floor, KeyDigest, MAX_STEPS, Poll, Subscriber,
-        SubscriberEvent, Update,
+        Action, ConfigStore, Document, KeyDigest, MAX_HISTORY_STEPS, MinConfigIndex, Poll,
+        Subscriber, SubscriberEvent, Update,
     },
     quay_types::{ConfigIndex, ErrorKind, Time},
     std::time::Duration,
@@ -31,7 +31,7 @@
             follow(&store, &mut near);
         }
     }
-    const { assert!(500 > MAX_STEPS) };
+    const { assert!(500 > MAX_HISTORY_STEPS) };
     assert!(matches!(poll(&store, far.poll()), Update::Snapshot(_)));
     follow(&store, &mut far);
     follow(&store, &mut near);
@@ -65,8 +65,8 @@
 fn the_first_document_needs_a_confirmed_read() {
     let store = founded();
     let mut subscriber = Subscriber::default();
-    subscriber.unanswered("ledger 10.0.0.1: no quorum");
-    assert_eq!(subscriber.waits(), "ledger 10.0.0.1: no quorum");
+    subscriber.record_no_answer("ledger 10.0.0.1: no quorum");
+    assert_eq!(subscriber.blocked_reason(), "ledger 10.0.0.1: no quorum");
     let update = poll(&store, subscriber.poll());
     assert_eq!(
         subscriber.receive(update.clone(), false),
@@ -75,13 +75,13 @@
     assert!(subscriber.config().is_none());
     assert!(matches!(
         subscriber.receive(update, true),
-        SubscriberEvent::InForce(_)
+        SubscriberEvent::Activated(_)
     ));
-    assert_eq!(subscriber.waits(), "");
+    assert_eq!(subscriber.blocked_reason(), "");
     let empty = poll(&ConfigStore::default(), Poll::default());
     assert_eq!(
         Subscriber::default().receive(empty, true),
-        SubscriberEvent::Empty
+        SubscriberEvent::NoDocument
     );
 }
 
@@ -97,10 +97,10 @@
     follow(&store, &mut old);
     let index = old.image().index;
     let event = old.receive(Update::Snapshot(old_image), true);
-    assert!(matches!(event, SubscriberEvent::Older(_)));
+    assert!(matches!(event, SubscriberEvent::Stale(_)));
     assert!(matches!(
         follow(&stale, &mut old),
-        SubscriberEvent::Older(_)
+        SubscriberEvent::Stale(_)
     ));
     assert_eq!(old.image().index, index);
 }
@@ -116,22 +116,22 @@
     platform.text = "[platform]\nunheard_of = 1\n".into();
     platform.digest = Document::digest("platform", &platform.text);
     let event = subscriber.receive(Update::Snapshot(Box::new(image)), true);
-    assert!(matches!(event, SubscriberEvent::Unusable(_)), "{event:?}");
+    assert!(matches!(event, SubscriberEvent::Invalid(_)), "{event:?}");
     assert_eq!(subscriber.image(), store.image());
-    assert!(subscriber.waits().contains("unheard_of"));
+    assert!(subscriber.blocked_reason().contains("unheard_of"));
 }
 
 #[test]
 fn work_under_an_old_index_is_refused_after_the_grace() {
-    let mut floor = Floor::new(Duration::from_secs(6));
+    let mut floor = MinConfigIndex::new(Duration::from_secs(6));
     let at = Time::from_millis;
-    floor.learn(at(0), ConfigIndex(3));
-    floor.learn(at(10_000), ConfigIndex(4));
+    floor.observe(at(0), ConfigIndex(3));
+    floor.observe(at(10_000), ConfigIndex(4));
     assert!(floor.check(at(15_999), ConfigIndex(3)).is_ok());
     let refused = floor.check(at(16_000), ConfigIndex(3)).expect_err("stale");
     assert_eq!(refused.kind, ErrorKind::ConfigStale);
     assert!(floor.check(at(16_000), ConfigIndex(4)).is_ok());
-    floor.learn(at(16_001), ConfigIndex(2));
+    floor.observe(at(16_001), ConfigIndex(2));
     assert!(floor.check(at(60_000), ConfigIndex(3)).is_err());
 }
 
--- a/crates/quay_experiment/src/capacity/configuration.rs
+++ b/crates/quay_experiment/src/capacity/configuration.rs
@@ -3,8 +3,8 @@
 use {
     crate::capacity::{Slope, ledger::as_f64, slope::least_us},
     quay_config::{
-        Action, Base, ChangeId, ConfigAnswer, ConfigQuery, ConfigStore, KeyDigest, Order, Origin,
-        Poll, Subscriber, Update,
+        Action, ChangeId, ConfigAnswer, ConfigCommand, ConfigQuery, ConfigStore, KeyDigest, Origin,
+        Poll, SectionRevision, Subscriber, Update,
     },
     quay_quorum::StateMachine as _,
     quay_types::{Epoch, LogIndex},
@@ -42,7 +42,7 @@
         "found",
         "ledger-1",
         Origin::Process,
-        Action::Found(text.into()),
+        Action::Bootstrap(text.into()),
     );
     let mut subscriber = Subscriber::default();
     subscriber.receive(poll(&store, subscriber.poll()), true);
@@ -51,7 +51,7 @@
 
 /// Carries out one order.
 fn order(store: &mut ConfigStore, id: &str, author: &str, origin: Origin, action: Action) {
-    let order = Order {
+    let order = ConfigCommand {
         id: ChangeId(id.into()),
         author: author.into(),
         origin,
@@ -66,7 +66,7 @@
 /// Changes the weight of one account, a line in the middle of its section.
 fn change(store: &mut ConfigStore, count: u32, weight: u32) {
     let section = &store.image().sections[SECTION];
-    let base = Base {
+    let base = SectionRevision {
         version: section.version,
         digest: section.digest,
     };
--- a/crates/quay_experiment/src/faults/configuration.rs
+++ b/crates/quay_experiment/src/faults/configuration.rs
@@ -6,8 +6,8 @@
         chance::{chance, draw, draw_ms, draw_slot},
     },
     quay_config::{
-        Action, Base, ChangeId, ConfigAnswer, ConfigQuery, ConfigStore, Order, OrderReply, Origin,
-        Poll, Subscriber, Update,
+        Action, ChangeId, ConfigAnswer, ConfigCommand, ConfigQuery, ConfigReply, ConfigStore,
+        Origin, Poll, SectionRevision, Subscriber, Update,
     },
     quay_quorum::StateMachine as _,
     quay_types::{ConfigIndex, ContentDigest, Epoch, LogIndex, Time},
@@ -61,7 +61,7 @@
     now: Time,
     mutated: bool,
     /// Committed orders, in order; replicas have applied a part of them.
-    log: Vec<Order>,
+    log: Vec<ConfigCommand>,
     replicas: Vec<(ConfigStore, usize)>,
     /// The replica that leads; the others lag behind.
     leader: usize,
@@ -70,7 +70,7 @@
     runs: Vec<u64>,
     wire: Vec<Packet>,
     /// First answers by change.
-    answers: BTreeMap<u64, (Order, OrderReply)>,
+    answers: BTreeMap<u64, (ConfigCommand, ConfigReply)>,
     next_change: u64,
     /// Content of each index, by the first daemon that had it in force.
     contents: BTreeMap<ConfigIndex, ContentDigest>,
@@ -101,7 +101,11 @@
             contents: BTreeMap::new(),
             accepted: (ConfigIndex(0), Time::ZERO),
         };
-        let found = world.order("ledger-1", Origin::Process, Action::Found(DOCUMENT.into()));
+        let found = world.order(
+            "ledger-1",
+            Origin::Process,
+            Action::Bootstrap(DOCUMENT.into()),
+        );
         let _ = world.commit(found);
         world
     }
@@ -159,9 +163,9 @@
     // Operators
 
     /// An order with a new id.
-    fn order(&mut self, author: &str, origin: Origin, action: Action) -> Order {
+    fn order(&mut self, author: &str, origin: Origin, action: Action) -> ConfigCommand {
         self.next_change += 1;
-        Order {
+        ConfigCommand {
             id: ChangeId(self.next_change.to_string().into()),
             author: author.into(),
             origin,
@@ -172,7 +176,7 @@
     }
 
     /// Commits an order; the leader has applied everything before it.
-    fn commit(&mut self, order: Order) -> OrderReply {
+    fn commit(&mut self, order: ConfigCommand) -> ConfigReply {
         self.log.push(order);
         let (store, applied) = &mut self.replicas[self.leader];
         let mut reply = Err(quay_config::Refusal::NoDocument);
@@ -194,7 +198,7 @@
             return;
         }
         let section = &self.replicas[self.leader].0.image().sections[SECTION];
-        let base = Base {
+        let base = SectionRevision {
             version: section.version,
             digest: section.digest,
         };
@@ -245,7 +249,7 @@
         daemon.next_poll = self.now + POLL_EVERY;
         if self.now < daemon.cut_until {
             daemon.whole_since = daemon.cut_until;
-            daemon.subscriber.unanswered("cut");
+            daemon.subscriber.record_no_answer("cut");
             return;
         }
         let poll = daemon.subscriber.poll();
@@ -363,7 +367,7 @@
 }
 
 /// Applies the next committed order to a replica.
-fn apply_next(log: &[Order], store: &mut ConfigStore, applied: &mut usize) -> OrderReply {
+fn apply_next(log: &[ConfigCommand], store: &mut ConfigStore, applied: &mut usize) -> ConfigReply {
     let order = log[*applied].clone();
     *applied += 1;
     store.apply(LogIndex(*applied as u64), Epoch(1), order)
--- a/crates/quay_experiment/src/faults/leaving.rs
+++ b/crates/quay_experiment/src/faults/leaving.rs
@@ -7,7 +7,8 @@
     },
     indexmap::IndexMap,
     quay_config::{
-        Action, ChangeId, ConfigAnswer, ConfigQuery, ConfigStore, Floor, Order, Origin, Subscriber,
+        Action, ChangeId, ConfigAnswer, ConfigCommand, ConfigQuery, ConfigStore, MinConfigIndex,
+        Origin, Subscriber,
     },
     quay_quorum::StateMachine as _,
     quay_types::{ConfigIndex, Epoch, LogIndex, Time},
@@ -55,7 +56,7 @@
     mutated: bool,
     store: ConfigStore,
     index: u64,
-    floor: Floor,
+    floor: MinConfigIndex,
     entries: Vec<Daemon>,
     sidecars: Vec<Daemon>,
     /// Upstreams that are marked, since when.
@@ -80,13 +81,17 @@
             mutated: decisions == Decisions::Mutated,
             store: ConfigStore::default(),
             index: 0,
-            floor: Floor::new(GRACE),
+            floor: MinConfigIndex::new(GRACE),
             entries: (0..ENTRIES).map(|_| daemon()).collect(),
             sidecars: (0..UPSTREAMS).map(|_| daemon()).collect(),
             marked: IndexMap::new(),
             deliveries: Vec::new(),
         };
-        world.order("ledger-1", Origin::Process, Action::Found(DOCUMENT.into()));
+        world.order(
+            "ledger-1",
+            Origin::Process,
+            Action::Bootstrap(DOCUMENT.into()),
+        );
         world
     }
 
@@ -122,7 +127,7 @@
     /// Commits an order; the ledger learns of the index at once.
     fn order(&mut self, author: &str, origin: Origin, action: Action) {
         self.index += 1;
-        let order = Order {
+        let order = ConfigCommand {
             id: ChangeId(self.index.to_string().into()),
             author: author.into(),
             origin,
@@ -131,7 +136,7 @@
             action,
         };
         if let Ok(accepted) = self.store.apply(LogIndex(self.index), Epoch(1), order) {
-            self.floor.learn(self.now, accepted.index);
+            self.floor.observe(self.now, accepted.index);
         }
     }
 
--- a/crates/quay_log/src/whole.rs
+++ b/crates/quay_log/src/atomic_file.rs
@@ -3,7 +3,7 @@
 use crate::{Folder, LogError, LogFile, frame};
 
 /// Ending of a file that is not in place yet.
-pub const UNFINISHED: &str = ".new";
+pub const TEMP_SUFFIX: &str = ".new";
 
 /// Writes all bytes to a file.
 pub(crate) fn write_all(file: &mut impl LogFile, mut bytes: &[u8]) -> std::io::Result<()> {
@@ -23,7 +23,7 @@
 /// # Errors
 ///
 /// [`LogError::Io`] names the file.
-pub fn save_whole(
+pub fn write_atomic(
     folder: &impl Folder,
     name: &str,
     number: u64,
@@ -32,7 +32,7 @@
     let mut buf = frame::start();
     buf.extend_from_slice(payload);
     frame::seal(&mut buf, number)?;
-    let new = format!("{name}{UNFINISHED}");
+    let new = format!("{name}{TEMP_SUFFIX}");
     let write = || {
         let mut file = folder.create(&new)?;
         write_all(&mut file, &buf)?;
@@ -43,19 +43,19 @@
     write().map_err(LogError::io(name))
 }
 
-/// Reads a file that [`save_whole`] wrote.
+/// Reads a file that [`write_atomic`] wrote.
 ///
 /// # Errors
 ///
-/// [`LogError::Damage`] if it is not as it was written.
-pub fn read_whole(folder: &impl Folder, name: &str) -> Result<(u64, Vec<u8>), LogError> {
+/// [`LogError::Corrupt`] if it is not as it was written.
+pub fn read_checked(folder: &impl Folder, name: &str) -> Result<(u64, Vec<u8>), LogError> {
     let bytes = folder.read(name).map_err(LogError::io(name))?;
     match frame::read(&bytes) {
         Some(frame) if frame.bytes() == bytes.len() => Ok((frame.number, frame.payload.into())),
-        _ => Err(LogError::Damage {
+        _ => Err(LogError::Corrupt {
             file: name.into(),
             offset: 0,
-            what: "the checksum does not fit".into(),
+            reason: "the checksum does not fit".into(),
         }),
     }
 }
--- a/crates/quay_log/src/room.rs
+++ b/crates/quay_log/src/disk_full.rs
@@ -15,19 +15,22 @@
 /// # Errors
 ///
 /// Any error but [`io::ErrorKind::StorageFull`].
-pub fn with_room<T>(what: &str, mut operation: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+pub fn retry_while_full<T>(
+    operation: &str,
+    mut attempt: impl FnMut() -> io::Result<T>,
+) -> io::Result<T> {
     let mut waits = false;
     loop {
-        match operation() {
+        match attempt() {
             Err(err) if err.kind() == io::ErrorKind::StorageFull => {
                 if !std::mem::replace(&mut waits, true) {
-                    ::log::error!("event=disk_full operation={what}");
+                    ::log::error!("event=disk_full operation={operation}");
                 }
                 thread::sleep(AGAIN_AFTER);
             }
             done => {
                 if waits {
-                    ::log::info!("event=disk_has_room operation={what}");
+                    ::log::info!("event=disk_has_room operation={operation}");
                 }
                 return done;
             }
--- a/crates/quay_log/src/error.rs
+++ b/crates/quay_log/src/error.rs
@@ -13,13 +13,13 @@
         err: io::Error,
     },
     /// Bytes that were reported as saved are damaged.
-    Damage {
+    Corrupt {
         /// The file.
         file: Box<str>,
         /// Where in the file.
         offset: u64,
         /// What is wrong there.
-        what: Box<str>,
+        reason: Box<str>,
     },
     /// An earlier write or sync failed; what is on the disk is unknown.
     Stopped,
@@ -41,8 +41,12 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Io { file, err } => write!(f, "{file}: {err}"),
-            Self::Damage { file, offset, what } => {
-                write!(f, "{file}: damaged at offset {offset}: {what}")
+            Self::Corrupt {
+                file,
+                offset,
+                reason,
+            } => {
+                write!(f, "{file}: damaged at offset {offset}: {reason}")
             }
             Self::Stopped => f.write_str("the log has stopped after a failed write or sync"),
             Self::Encode(err) => write!(f, "record does not encode: {err}"),
--- a/crates/quay_log/src/folder.rs
+++ b/crates/quay_log/src/folder.rs
@@ -1,7 +1,7 @@
 //! The files under a log, as small traits, so that tests can bring faults about.
 
 use {
-    crate::with_room,
+    crate::retry_while_full,
     std::{
         fs::{self, File, OpenOptions},
         io::{self, Write as _},
@@ -132,7 +132,7 @@
 
 impl LogFile for DiskFile {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        with_room("write", || self.0.write(bytes))
+        retry_while_full("write", || self.0.write(bytes))
     }
 
     fn sync(&mut self) -> io::Result<()> {
@@ -161,7 +161,7 @@
 
     fn create(&self, name: &str) -> io::Result<DiskFile> {
         // Appending, so that a cut does not leave a hole.
-        with_room("create", || fs::write(self.0.join(name), []))?;
+        retry_while_full("create", || fs::write(self.0.join(name), []))?;
         self.append(name)
     }
 
--- a/crates/quay_log/src/inspect.rs
+++ b/crates/quay_log/src/inspect.rs
@@ -35,7 +35,7 @@
     /// if the file is the last segment.
     #[must_use]
     pub fn is_torn(&self) -> bool {
-        matches!(&self.fault, Some((_, what)) if &**what == TORN_TAIL)
+        matches!(&self.fault, Some((_, reason)) if &**reason == TORN_TAIL)
     }
 }
 
@@ -50,7 +50,7 @@
             write!(f, " first={first} last={last}")?;
         }
         match &self.fault {
-            Some((offset, what)) => write!(f, " fault_offset={offset} fault={what:?}"),
+            Some((offset, reason)) => write!(f, " fault_offset={offset} fault={reason:?}"),
             None => Ok(()),
         }
     }
@@ -93,7 +93,7 @@
     let (batches, end) = match segment::read(bytes, number) {
         Ok(read) => read,
         Err(fault) => {
-            report.fault = Some((fault.offset as u64, fault.what));
+            report.fault = Some((fault.offset as u64, fault.reason));
             return;
         }
     };
--- a/crates/quay_log/src/lib.rs
+++ b/crates/quay_log/src/lib.rs
@@ -20,6 +20,8 @@
 //! assert_eq!(recovered.entries.len(), 1);
 //! ```
 
+mod atomic_file;
+mod disk_full;
 mod error;
 mod folder;
 mod frame;
@@ -27,19 +29,17 @@
 mod log;
 mod record;
 mod replay;
-mod room;
 mod segment;
 mod snapshot;
-mod whole;
 
 pub use {
+    atomic_file::{TEMP_SUFFIX, read_checked, write_atomic},
+    disk_full::retry_while_full,
     error::LogError,
     folder::{DiskFile, DiskFolder, Folder, LogFile},
     inspect::{FileReport, inspect},
     log::{Log, LogSettings, Recovered, TornTail},
-    record::{Hard, LogEntry, Record},
+    record::{HardState, LogEntry, Record},
     replay::{Replay, ReplayError},
-    room::with_room,
     snapshot::{Snapshot, read_newest_snapshot, save_snapshot},
-    whole::{UNFINISHED, read_whole, save_whole},
 };
--- a/crates/quay_log/src/log.rs
+++ b/crates/quay_log/src/log.rs
@@ -2,10 +2,11 @@
 
 use {
     crate::{
-        Folder, Hard, LogEntry, LogError, LogFile, Record, Replay, Snapshot, frame, record,
+        Folder, HardState, LogEntry, LogError, LogFile, Record, Replay, Snapshot,
+        atomic_file::write_all,
+        frame, record,
         segment::{self, End},
         snapshot,
-        whole::write_all,
     },
     quay_types::{Epoch, LogIndex},
 };
@@ -40,7 +41,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Recovered {
     /// Term and vote.
-    pub hard: Hard,
+    pub hard_state: HardState,
     /// The newest snapshot.
     pub snapshot: Option<Snapshot>,
     /// Entries after the snapshot, contiguous.
@@ -80,7 +81,7 @@
     /// Number of the next frame.
     next: u64,
     /// Repeated at the start of each segment, so that older ones can go.
-    hard: Hard,
+    hard_state: HardState,
     stopped: bool,
 }
 
@@ -89,7 +90,7 @@
     ///
     /// # Errors
     ///
-    /// [`LogError::Damage`] names file and offset.
+    /// [`LogError::Corrupt`] names file and offset.
     pub fn open(folder: F, cfg: LogSettings) -> Result<(Self, Recovered), LogError> {
         let mut log = Self {
             folder,
@@ -97,11 +98,11 @@
             closed: Vec::new(),
             active: None,
             next: 1,
-            hard: Hard::default(),
+            hard_state: HardState::default(),
             stopped: false,
         };
         let recovered = log.recover()?;
-        log.hard = recovered.hard;
+        log.hard_state = recovered.hard_state;
         Ok((log, recovered))
     }
 
@@ -156,7 +157,7 @@
         let starts = self.active.as_ref().is_none_or(full);
         let mut buf = frame::start();
         if starts {
-            buf = record::encode(buf, [&Record::Hard(self.hard)])?;
+            buf = record::encode(buf, [&Record::HardState(self.hard_state)])?;
         }
         buf = record::encode(buf, records)?;
         frame::seal(&mut buf, self.next)?;
@@ -175,8 +176,8 @@
         }
         self.next += 1;
         for record in records {
-            if let Record::Hard(hard) = record {
-                self.hard = *hard;
+            if let Record::HardState(hard_state) = record {
+                self.hard_state = *hard_state;
             }
         }
         Ok(())
@@ -223,13 +224,13 @@
             let last = slot + 1 == count;
             cut = self.recover_segment(&mut replay, number, name, last)?;
         }
-        let (hard, entries) = replay.finish().map_err(|err| LogError::Damage {
+        let (hard_state, entries) = replay.finish().map_err(|err| LogError::Corrupt {
             file: "snapshot".into(),
             offset: 0,
-            what: err.to_string().into(),
+            reason: err.to_string().into(),
         })?;
         Ok(Recovered {
-            hard,
+            hard_state,
             snapshot,
             entries,
             cut,
@@ -244,24 +245,24 @@
         name: Box<str>,
         last: bool,
     ) -> Result<Option<TornTail>, LogError> {
-        let damage = |offset: usize, what: Box<str>| LogError::Damage {
+        let corrupt = |offset: usize, reason: Box<str>| LogError::Corrupt {
             file: name.clone(),
             offset: offset as u64,
-            what,
+            reason,
         };
         let first = self.active.is_none() && self.closed.is_empty();
         if !first && number != self.next {
-            let what = format!("the segment with frame {} is missing", self.next);
-            return Err(damage(0, what.into()));
+            let reason = format!("the segment with frame {} is missing", self.next);
+            return Err(corrupt(0, reason.into()));
         }
         let bytes = self.folder.read(&name).map_err(LogError::io(&name))?;
         let (batches, end) =
-            segment::read(&bytes, number).map_err(|fault| damage(fault.offset, fault.what))?;
+            segment::read(&bytes, number).map_err(|fault| corrupt(fault.offset, fault.reason))?;
         let kept = match end {
             End::Whole => bytes.len(),
             End::Torn(offset) if last => offset,
             End::Torn(offset) => {
-                return Err(damage(
+                return Err(corrupt(
                     offset,
                     "a frame before the last segment is bad".into(),
                 ));
@@ -274,7 +275,7 @@
                 greatest = record.index().map_or(greatest, |index| greatest.max(index));
                 replay
                     .push(record)
-                    .map_err(|err| damage(batch.offset, err.to_string().into()))?;
+                    .map_err(|err| corrupt(batch.offset, err.to_string().into()))?;
             }
         }
         self.adopt(name, kept, bytes.len(), greatest)
--- a/crates/quay_log/src/record.rs
+++ b/crates/quay_log/src/record.rs
@@ -8,7 +8,7 @@
 
 /// Term and vote of a replica.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hard {
+pub struct HardState {
     /// Latest term that the replica has seen.
     pub term: Epoch,
     /// Whom it voted for in that term.
@@ -30,7 +30,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
     /// Term and vote.
-    Hard(Hard),
+    HardState(HardState),
     /// An entry; it replaces those that were saved from its index on.
     Entry {
         /// Its index.
@@ -50,7 +50,7 @@
     pub(crate) const fn index(&self) -> Option<LogIndex> {
         match self {
             Self::Entry { index, .. } => Some(*index),
-            Self::Hard(_) | Self::Reset => None,
+            Self::HardState(_) | Self::Reset => None,
         }
     }
 }
--- a/crates/quay_log/src/replay.rs
+++ b/crates/quay_log/src/replay.rs
@@ -1,7 +1,7 @@
 //! Decides what a log holds from its records, in order.
 
 use {
-    crate::{Hard, LogEntry, Record},
+    crate::{HardState, LogEntry, Record},
     quay_types::{Epoch, LogIndex},
     std::fmt,
 };
@@ -30,7 +30,7 @@
 pub struct Replay {
     /// Last entry that the snapshot covers, and its term.
     covered: (LogIndex, Epoch),
-    hard: Hard,
+    hard_state: HardState,
     /// Contiguous.
     entries: Vec<LogEntry>,
 }
@@ -53,7 +53,7 @@
     /// If entries are missing before it.
     pub fn push(&mut self, record: Record) -> Result<(), ReplayError> {
         match record {
-            Record::Hard(hard) => self.hard = hard,
+            Record::HardState(hard_state) => self.hard_state = hard_state,
             Record::Reset => self.entries.clear(),
             Record::Entry { index, term, body } => {
                 self.make_room(index)?;
@@ -90,7 +90,7 @@
     /// # Errors
     ///
     /// If entries are missing between the snapshot and the first one.
-    pub fn finish(mut self) -> Result<(Hard, Vec<LogEntry>), ReplayError> {
+    pub fn finish(mut self) -> Result<(HardState, Vec<LogEntry>), ReplayError> {
         let (covered, term) = self.covered;
         let at_snapshot = self.entries.iter().find(|entry| entry.index == covered);
         if at_snapshot.is_some_and(|entry| entry.term != term) {
@@ -104,7 +104,7 @@
                 expected,
                 found: first.index,
             }),
-            _ => Ok((self.hard, self.entries)),
+            _ => Ok((self.hard_state, self.entries)),
         }
     }
 }
--- a/crates/quay_log/src/segment.rs
+++ b/crates/quay_log/src/segment.rs
@@ -20,7 +20,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Fault {
     pub(crate) offset: usize,
-    pub(crate) what: Box<str>,
+    pub(crate) reason: Box<str>,
 }
 
 /// How the frames of a segment end.
@@ -49,12 +49,12 @@
             return end(rest, offset, next).map(|end| (batches, end));
         };
         if frame.number != next {
-            let what = format!("frame {} where {next} is due", frame.number).into();
-            return Err(Fault { offset, what });
+            let reason = format!("frame {} where {next} is due", frame.number).into();
+            return Err(Fault { offset, reason });
         }
         let records = record::decode(frame.payload).ok_or_else(|| Fault {
             offset,
-            what: "the records do not decode".into(),
+            reason: "the records do not decode".into(),
         })?;
         batches.push(Batch { offset, records });
         offset += frame.bytes();
@@ -69,7 +69,7 @@
     match frame::find_after(rest, number) {
         Some(later) => Err(Fault {
             offset,
-            what: format!("a whole frame follows at offset {}", offset + later).into(),
+            reason: format!("a whole frame follows at offset {}", offset + later).into(),
         }),
         None => Ok(End::Torn(offset)),
     }
--- a/crates/quay_log/src/snapshot.rs
+++ b/crates/quay_log/src/snapshot.rs
@@ -1,7 +1,7 @@
 //! Snapshots: the state after an entry, each in a file of its own.
 
 use {
-    crate::{Folder, LogError, read_whole, save_whole, whole::UNFINISHED},
+    crate::{Folder, LogError, atomic_file::TEMP_SUFFIX, read_checked, write_atomic},
     quay_types::{Epoch, LogIndex},
 };
 
@@ -16,7 +16,7 @@
     /// Term of that entry.
     pub term: Epoch,
     /// What the user of the log keeps beside the state, such as the members.
-    pub head: Box<[u8]>,
+    pub metadata: Box<[u8]>,
     /// The encoded state.
     pub data: Box<[u8]>,
 }
@@ -32,11 +32,11 @@
 ///
 /// [`LogError::Io`] names the file; the older snapshots are still there.
 pub fn save_snapshot(folder: &impl Folder, snapshot: &Snapshot) -> Result<(), LogError> {
-    let head = (snapshot.term, &snapshot.head);
+    let head = (snapshot.term, &snapshot.metadata);
     let mut payload = postcard::to_stdvec(&head).map_err(LogError::Encode)?;
     payload.extend_from_slice(&snapshot.data);
     let kept = name(snapshot.index);
-    save_whole(folder, &kept, snapshot.index.0, &payload)?;
+    write_atomic(folder, &kept, snapshot.index.0, &payload)?;
     for old in list(folder)?.into_iter().filter(|old| *old < kept) {
         folder.remove(&old).map_err(LogError::io(&old))?;
     }
@@ -46,29 +46,29 @@
 /// Names of the snapshots, oldest first.
 pub(crate) fn list(folder: &impl Folder) -> Result<Vec<Box<str>>, LogError> {
     let mut names = folder.list().map_err(LogError::io("folder"))?;
-    names.retain(|name| name.starts_with(PREFIX) && !name.ends_with(UNFINISHED));
+    names.retain(|name| name.starts_with(PREFIX) && !name.ends_with(TEMP_SUFFIX));
     names.sort_unstable();
     Ok(names)
 }
 
 /// Reads a snapshot.
 pub(crate) fn read(folder: &impl Folder, file: &str) -> Result<Snapshot, LogError> {
-    let (index, payload) = read_whole(folder, file)?;
-    let damage = |what: &str| LogError::Damage {
+    let (index, payload) = read_checked(folder, file)?;
+    let corrupt = |reason: &str| LogError::Corrupt {
         file: file.into(),
         offset: 0,
-        what: what.into(),
+        reason: reason.into(),
     };
     let (head, data): ((Epoch, Box<[u8]>), &[u8]) =
-        postcard::take_from_bytes(&payload).map_err(|_| damage("the head does not decode"))?;
+        postcard::take_from_bytes(&payload).map_err(|_| corrupt("the head does not decode"))?;
     let index = LogIndex(index);
     if *name(index) != *file {
-        return Err(damage("the name does not fit the content"));
+        return Err(corrupt("the name does not fit the content"));
     }
     Ok(Snapshot {
         index,
         term: head.0,
-        head: head.1,
+        metadata: head.1,
         data: data.into(),
     })
 }
@@ -78,7 +78,7 @@
 /// A damaged one is an error: the entries that it covers may be gone.
 pub(crate) fn recover(folder: &impl Folder) -> Result<Option<Snapshot>, LogError> {
     let names = folder.list().map_err(LogError::io("folder"))?;
-    for half in names.iter().filter(|name| name.ends_with(UNFINISHED)) {
+    for half in names.iter().filter(|name| name.ends_with(TEMP_SUFFIX)) {
         folder.remove(half).map_err(LogError::io(half))?;
     }
     read_newest_snapshot(folder)
@@ -88,7 +88,7 @@
 ///
 /// # Errors
 ///
-/// [`LogError::Damage`] if it is not as it was written.
+/// [`LogError::Corrupt`] if it is not as it was written.
 pub fn read_newest_snapshot(folder: &impl Folder) -> Result<Option<Snapshot>, LogError> {
     match list(folder)?.last() {
         Some(newest) => read(folder, newest).map(Some),
--- a/crates/quay_log/tests/files/crash.rs
+++ b/crates/quay_log/tests/files/crash.rs
@@ -3,7 +3,7 @@
 use {
     crate::memory_folder::{Fault, Loss, MemoryFolder},
     quay_log::{
-        Hard, Log, LogEntry, LogError, LogSettings, Record, Recovered, Snapshot, save_snapshot,
+        HardState, Log, LogEntry, LogError, LogSettings, Record, Recovered, Snapshot, save_snapshot,
     },
     quay_types::{Epoch, LogIndex, NodeId},
 };
@@ -20,7 +20,7 @@
 }
 
 fn hard(term: u64) -> Record {
-    Record::Hard(Hard {
+    Record::HardState(HardState {
         term: Epoch(term),
         vote: Some(NodeId(term)),
     })
@@ -29,7 +29,7 @@
 /// What was acknowledged.
 #[derive(Debug, Clone, Default, PartialEq)]
 struct Model {
-    hard: Hard,
+    hard_state: HardState,
     snapshot: LogIndex,
     entries: Vec<LogEntry>,
 }
@@ -38,7 +38,7 @@
     fn append(&mut self, records: &[Record]) {
         for record in records.iter().cloned() {
             match record {
-                Record::Hard(hard) => self.hard = hard,
+                Record::HardState(hard_state) => self.hard_state = hard_state,
                 Record::Reset => self.entries.clear(),
                 Record::Entry { index, term, body } => {
                     self.entries.retain(|held| held.index < index);
@@ -55,7 +55,7 @@
 
     fn of(recovered: Recovered) -> Self {
         Self {
-            hard: recovered.hard,
+            hard_state: recovered.hard_state,
             snapshot: recovered.snapshot.map_or(LogIndex(0), |held| held.index),
             entries: recovered.entries,
         }
@@ -112,7 +112,7 @@
                 let snapshot = Snapshot {
                     index: *index,
                     term: *term,
-                    head: [1].into(),
+                    metadata: [1].into(),
                     data: [2; 40].into(),
                 };
                 save_snapshot(folder, &snapshot).and_then(|()| log.compact(*index))
@@ -213,7 +213,7 @@
         let (states, done) = run(&folder);
         done.expect("the lie is not seen at once");
         match Log::open(folder, CFG) {
-            Err(LogError::Damage { file, .. }) => {
+            Err(LogError::Corrupt { file, .. }) => {
                 assert!(
                     file.starts_with("segment-") || file.starts_with("snapshot"),
                     "{file}"
--- a/crates/quay_log/tests/files/damage.rs
+++ b/crates/quay_log/tests/files/damage.rs
@@ -33,7 +33,7 @@
     bytes[30] ^= 1;
     folder.put(&names[0], bytes);
     match Log::open(folder.clone(), CFG) {
-        Err(LogError::Damage { file, offset, .. }) => {
+        Err(LogError::Corrupt { file, offset, .. }) => {
             assert_eq!((file, offset), (names[0].clone(), 0));
         }
         other => panic!("{other:?}"),
@@ -52,7 +52,7 @@
     folder.remove(&names[1]).expect("removed");
     assert!(matches!(
         Log::open(folder, CFG),
-        Err(LogError::Damage { .. })
+        Err(LogError::Corrupt { .. })
     ));
 }
 
@@ -91,7 +91,7 @@
         bytes[position] ^= flip;
         folder.put(name, bytes);
         match Log::open(folder, CFG) {
-            Err(LogError::Damage { .. }) => {}
+            Err(LogError::Corrupt { .. }) => {}
             Err(err) => panic!("{err}"),
             Ok((_, held)) => {
                 prop_assert!(held.entries.len() + 1 == whole.entries.len());
--- a/crates/quay_log/tests/files/room.rs
+++ b/crates/quay_log/tests/files/disk_full.rs
@@ -1,14 +1,14 @@
 //! A disk that is full for a while.
 
 use {
-    quay_log::{LogFile as _, with_room},
+    quay_log::{LogFile as _, retry_while_full},
     std::{cell::Cell, io},
 };
 
 #[test]
 fn what_takes_room_is_done_once_there_is_some() {
     let tries = Cell::new(0);
-    let done = with_room("write", || {
+    let done = retry_while_full("write", || {
         tries.set(tries.get() + 1);
         if tries.get() < 5 {
             Err(io::ErrorKind::StorageFull.into())
@@ -24,7 +24,7 @@
 fn any_other_error_is_told_at_once() {
     for kind in [io::ErrorKind::Other, io::ErrorKind::WriteZero] {
         let tries = Cell::new(0);
-        let done: io::Result<()> = with_room("write", || {
+        let done: io::Result<()> = retry_while_full("write", || {
             tries.set(tries.get() + 1);
             Err(kind.into())
         });
--- a/crates/quay_log/tests/files/main.rs
+++ b/crates/quay_log/tests/files/main.rs
@@ -2,5 +2,5 @@
 
 mod crash;
 mod damage;
+mod disk_full;
 mod memory_folder;
-mod room;
--- a/crates/sapphirequay/src/audit.rs
+++ b/crates/sapphirequay/src/audit.rs
@@ -72,7 +72,7 @@
             );
         }
         let chained = self.chain.filter(|_| follows);
-        if chained.is_some_and(|chain| record.chained(chain) != record.chain) {
+        if chained.is_some_and(|chain| record.chain_after(chain) != record.chain) {
             eprintln!(
                 "audit: record {} does not follow on the one before",
                 record.sequence
--- a/crates/sapphirequay/src/config/show.rs
+++ b/crates/sapphirequay/src/config/show.rs
@@ -5,7 +5,7 @@
         operator::{Operator, operator_args, unexpected},
         section_file::SectionFile,
     },
-    quay_config::{Base, Image},
+    quay_config::{Image, SectionRevision},
     sapphirequayd::{ControlReply, ControlRequest},
     serde_json::json,
     std::error::Error,
@@ -32,7 +32,7 @@
     let section = image.sections.get(name);
     SectionFile {
         section: name.into(),
-        base: section.map_or_else(Base::default, |section| Base {
+        base: section.map_or_else(SectionRevision::default, |section| SectionRevision {
             version: section.version,
             digest: section.digest,
         }),
--- a/crates/sapphirequay/src/config/status.rs
+++ b/crates/sapphirequay/src/config/status.rs
@@ -48,8 +48,8 @@
         .iter()
         .map(|section| {
             json!({
-                "name": section.name, "version": section.base.version,
-                "digest": section.base.digest.to_string(), "author": section.author,
+                "name": section.name, "version": section.revision.version,
+                "digest": section.revision.digest.to_string(), "author": section.author,
                 "time_ms": section.time_ms, "owners": section.owners,
             })
         })
@@ -84,8 +84,8 @@
         println!(
             "section {} version {} digest {} set by {set}, owned by {}",
             section.name,
-            section.base.version,
-            section.base.digest,
+            section.revision.version,
+            section.revision.digest,
             section.owners.join(", ")
         );
     }
--- a/crates/sapphirequay/src/experiment/spread/configuration.rs
+++ b/crates/sapphirequay/src/experiment/spread/configuration.rs
@@ -4,8 +4,8 @@
     super::{frame_bytes, millis, queue::Queue},
     hdrhistogram::Histogram,
     quay_config::{
-        Action, Base, ChangeId, ConfigAnswer, ConfigQuery, ConfigStore, KeyDigest, Order, Origin,
-        Poll, Subscriber, SubscriberEvent, Update, check,
+        Action, ChangeId, ConfigAnswer, ConfigCommand, ConfigQuery, ConfigStore, KeyDigest, Origin,
+        Poll, SectionRevision, Subscriber, SubscriberEvent, Update, check,
     },
     quay_members::Pacer,
     quay_quorum::StateMachine as _,
@@ -151,7 +151,7 @@
         let found = order(
             "found",
             Origin::Process,
-            Action::Found(document(accounts).into()),
+            Action::Bootstrap(document(accounts).into()),
         );
         let accepted = store.apply(LogIndex(1), Epoch(1), found)?;
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -209,7 +209,7 @@
     /// Changes the weight of one account.
     fn change(&mut self, now: Time, number: u32) -> Result<(), Box<dyn Error>> {
         let section = &self.store.image().sections["ordering"];
-        let base = Base {
+        let base = SectionRevision {
             version: section.version,
             digest: section.digest,
         };
@@ -261,7 +261,7 @@
         let event = daemon_state.subscriber.receive(update, true);
         let next = now + daemon_state.pacer.next_wait(random);
         self.queue.push(next, Event::Ask(daemon));
-        if let SubscriberEvent::InForce(index) = event
+        if let SubscriberEvent::Activated(index) = event
             && before > ConfigIndex(0)
         {
             let new = self
@@ -310,8 +310,8 @@
 }
 
 /// An order of an author who owns every section.
-fn order(id: &str, origin: Origin, action: Action) -> Order {
-    Order {
+fn order(id: &str, origin: Origin, action: Action) -> ConfigCommand {
+    ConfigCommand {
         id: ChangeId(id.into()),
         author: "ada".into(),
         origin,
--- a/crates/sapphirequay/src/quarantine.rs
+++ b/crates/sapphirequay/src/quarantine.rs
@@ -81,7 +81,7 @@
     };
     let cause = args.cause.as_deref().unwrap_or_default();
     let mut operator = args.connect()?;
-    let action = Action::Clear(digest);
+    let action = Action::ClearQuarantine(digest);
     let (id, accepted) = operator.order(action, args.change_id.as_deref(), cause, false)?;
     print_accepted(args.json, &id, &accepted);
     Ok(())
--- a/crates/sapphirequay/src/section_file.rs
+++ b/crates/sapphirequay/src/section_file.rs
@@ -1,7 +1,7 @@
 //! A section in a file, with what it was made from in its first line.
 
 use {
-    quay_config::Base,
+    quay_config::SectionRevision,
     quay_types::ContentDigest,
     std::{error::Error, fmt, str::FromStr},
 };
@@ -15,14 +15,14 @@
     /// Name of the section.
     pub section: Box<str>,
     /// What the text was made from.
-    pub base: Base,
+    pub base: SectionRevision,
     /// The text, without the first line.
     pub text: Box<str>,
 }
 
 impl fmt::Display for SectionFile {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Base { version, digest } = self.base;
+        let SectionRevision { version, digest } = self.base;
         writeln!(f, "{BASE_MARK}{} {version} {digest}", self.section)?;
         f.write_str(&self.text)
     }
@@ -41,7 +41,7 @@
         let [section, version, digest] = fields[..] else {
             return Err(format!("malformed first line: {first}").into());
         };
-        let base = Base {
+        let base = SectionRevision {
             version: version.parse()?,
             digest: parse_digest(digest)?,
         };
--- a/crates/sapphirequayd/src/process/control.rs
+++ b/crates/sapphirequayd/src/process/control.rs
@@ -6,7 +6,10 @@
         Mailbox, MemberRow, OperatorOrder, directory::DirectoryMsg,
     },
     indexmap::IndexMap,
-    quay_config::{Action, ChangeId, ConfigAnswer, ConfigQuery, ConfigStore, Floor, Order, Origin},
+    quay_config::{
+        Action, ChangeId, ConfigAnswer, ConfigCommand, ConfigQuery, ConfigStore, MinConfigIndex,
+        Origin,
+    },
     quay_link::Incoming,
     quay_types::{ConfigIndex, Error, Time},
     std::{
@@ -42,7 +45,7 @@
     group: ControlGroup,
     directory: Mailbox<DirectoryMsg>,
     daemons: Arc<Mutex<Daemons>>,
-    floor: Arc<Mutex<Floor>>,
+    floor: Arc<Mutex<MinConfigIndex>>,
     clock: Clock,
 }
 
@@ -71,7 +74,7 @@
             group,
             directory,
             daemons: Arc::default(),
-            floor: Arc::new(Mutex::new(Floor::new(grace))),
+            floor: Arc::new(Mutex::new(MinConfigIndex::new(grace))),
             clock,
         }
     }
@@ -100,13 +103,13 @@
             Ok(ConfigAnswer::Status(_)) => {}
             _ => return false,
         }
-        let order = Order {
+        let order = ConfigCommand {
             id: ChangeId(FIRST_DOCUMENT.into()),
             author: FIRST_DOCUMENT.into(),
             origin: Origin::Process,
             cause: "settings of the ledger hosts".into(),
             time_ms: Clock::wall_ms(),
-            action: Action::Found(text.into()),
+            action: Action::Bootstrap(text.into()),
         };
         match self.propose(order) {
             ControlReply::Order(Err(refusal)) => {
@@ -131,7 +134,7 @@
                 digest,
                 until_ms,
                 cause,
-            } => self.propose(Order {
+            } => self.propose(ConfigCommand {
                 id,
                 author: holder,
                 origin: Origin::Process,
@@ -153,7 +156,7 @@
     /// names, whatever the order says.
     fn operator(&self, order: OperatorOrder, holder: Box<str>) -> ControlReply {
         let dry_run = order.dry_run;
-        let order = Order {
+        let order = ConfigCommand {
             id: order.id,
             author: holder,
             origin: Origin::Operator,
@@ -180,7 +183,7 @@
     pub fn learn(&self, index: ConfigIndex, grace: Duration) {
         let mut floor = lock(&self.floor);
         floor.set_grace(grace);
-        floor.learn(self.clock.now(), index);
+        floor.observe(self.clock.now(), index);
     }
 
     /// Whether work that was begun under `index` is taken.
@@ -224,7 +227,7 @@
     }
 
     /// Proposes an order.
-    fn propose(&self, command: Order) -> ControlReply {
+    fn propose(&self, command: ConfigCommand) -> ControlReply {
         let asked = self.group.ask(|reply| GroupMsg::Propose { command, reply });
         match asked {
             Some(Ok(reply)) => ControlReply::Order(reply),
--- a/crates/sapphirequayd/src/process/control_message.rs
+++ b/crates/sapphirequayd/src/process/control_message.rs
@@ -2,7 +2,8 @@
 
 use {
     quay_config::{
-        Action, AuditRecord, ChangeId, Image, OrderReply, Poll, SectionView, StoreStatus, Update,
+        Action, AuditRecord, ChangeId, ConfigReply, Image, Poll, SectionSummary, StoreStatus,
+        Update,
     },
     quay_members::{MemberStatus, Suspicion},
     quay_types::{ConfigIndex, ContentDigest, Incarnation, Load, UpstreamState},
@@ -78,7 +79,7 @@
     /// What is in force.
     pub index: ConfigIndex,
     /// The sections.
-    pub sections: Box<[SectionView]>,
+    pub sections: Box<[SectionSummary]>,
     /// Sequence of the last audit record.
     pub audit: u64,
     /// Daemons that have asked this host.
@@ -146,7 +147,7 @@
     /// Answer to `Poll`, confirmed by a quorum.
     Update(Update),
     /// Answer to `Order` and `Quarantine`.
-    Order(OrderReply),
+    Order(ConfigReply),
     /// Answer to `Image`.
     Image(Box<Image>),
     /// Answer to `Status`.
--- a/crates/sapphirequayd/src/process/group/backup.rs
+++ b/crates/sapphirequayd/src/process/group/backup.rs
@@ -3,7 +3,7 @@
 use {
     super::storage,
     quay_log::{
-        DiskFolder, Folder as _, Hard, Log, LogError, LogSettings, Record, UNFINISHED,
+        DiskFolder, Folder as _, HardState, Log, LogError, LogSettings, Record, TEMP_SUFFIX,
         save_snapshot,
     },
     quay_quorum::{Entry, Member, Membership, Payload, SnapshotMeta},
@@ -155,7 +155,7 @@
 fn copy_named(from: &Path, to: &Path, prefix: &str) -> Result<(), BackupError> {
     let folder = DiskFolder::open(from).map_err(BackupError::io(from))?;
     let names = folder.list().map_err(BackupError::io(from))?;
-    let whole = |name: &str| name.starts_with(prefix) && !name.ends_with(UNFINISHED);
+    let whole = |name: &str| name.starts_with(prefix) && !name.ends_with(TEMP_SUFFIX);
     for name in names.iter().filter(|name| whole(name)) {
         let target = to.join(&**name);
         match fs::copy(from.join(&**name), &target) {
@@ -188,7 +188,7 @@
         }
         let (mut log, _) = Log::open(folder.clone(), LogSettings::default())?;
         let term = opened.restart.hard_state.term;
-        log.append(&[Record::Hard(Hard { term, vote: None })])?;
+        log.append(&[Record::HardState(HardState { term, vote: None })])?;
         for entries in opened.restart.entries.chunks(RESTORE_BATCH) {
             let records: Result<Vec<Record>, LogError> =
                 entries.iter().map(without_members).collect();
--- a/crates/sapphirequayd/src/process/group/disk.rs
+++ b/crates/sapphirequayd/src/process/group/disk.rs
@@ -1,7 +1,7 @@
 //! The thread that writes a replica's log: one sync for all that waits.
 
 use {
-    quay_log::{DiskFolder, Hard, Log, LogError, Record, Snapshot, save_snapshot},
+    quay_log::{DiskFolder, HardState, Log, LogError, Record, Snapshot, save_snapshot},
     quay_quorum::{Persist, PersistId},
     quay_types::LogIndex,
     std::sync::mpsc::Receiver,
@@ -89,7 +89,7 @@
     fn add(&mut self, persist: Persist) -> Result<(), LogError> {
         self.ticket = Some(persist.id);
         if let Some(hard) = persist.hard_state {
-            self.records.push(Record::Hard(Hard {
+            self.records.push(Record::HardState(HardState {
                 term: hard.term,
                 vote: hard.vote,
             }));
--- a/crates/sapphirequayd/src/process/group/storage.rs
+++ b/crates/sapphirequayd/src/process/group/storage.rs
@@ -3,7 +3,7 @@
 use {
     quay_log::{
         DiskFolder, Folder as _, Log, LogEntry, LogError, LogSettings, Recovered, Snapshot,
-        read_newest_snapshot, read_whole, save_snapshot, save_whole,
+        read_checked, read_newest_snapshot, save_snapshot, write_atomic,
     },
     quay_quorum::{Entry, HardState, Membership, PersistedState, Position, SnapshotMeta},
     quay_types::{LogIndex, NodeId},
@@ -21,7 +21,7 @@
     if !names.iter().any(|name| &**name == IDENTITY) {
         return Ok(None);
     }
-    let (node, _) = read_whole(folder, IDENTITY)?;
+    let (node, _) = read_checked(folder, IDENTITY)?;
     Ok(Some(NodeId(node)))
 }
 
@@ -33,7 +33,7 @@
 
 /// Writes the identity of a new data folder.
 pub fn write_identity(folder: &DiskFolder, node: NodeId) -> Result<(), LogError> {
-    save_whole(folder, IDENTITY, node.0, &[])
+    write_atomic(folder, IDENTITY, node.0, &[])
 }
 
 /// The stored form of a snapshot.
@@ -42,14 +42,14 @@
     Ok(Snapshot {
         index: meta.position.index,
         term: meta.position.term,
-        head: head.into(),
+        metadata: head.into(),
         data,
     })
 }
 
 /// What a stored snapshot stands for.
 fn meta_of(snapshot: &Snapshot) -> Result<SnapshotMeta, LogError> {
-    let members: Membership = postcard::from_bytes(&snapshot.head).map_err(LogError::Encode)?;
+    let members: Membership = postcard::from_bytes(&snapshot.metadata).map_err(LogError::Encode)?;
     let position = Position {
         term: snapshot.term,
         index: snapshot.index,
@@ -143,8 +143,8 @@
     let entries: Result<Vec<Entry>, LogError> = recovered.entries.iter().map(entry_of).collect();
     Ok(PersistedState {
         hard_state: HardState {
-            term: recovered.hard.term,
-            vote: recovered.hard.vote,
+            term: recovered.hard_state.term,
+            vote: recovered.hard_state.vote,
         },
         meta,
         entries: entries?,
--- a/crates/sapphirequayd/src/process/subscription.rs
+++ b/crates/sapphirequayd/src/process/subscription.rs
@@ -46,8 +46,8 @@
         loop {
             let event = self.round(&mut subscriber);
             pacer.record_outcome(event.is_some());
-            if subscriber.waits() != waited {
-                waited = subscriber.waits().into();
+            if subscriber.blocked_reason() != waited {
+                waited = subscriber.blocked_reason().into();
                 log::warn!(
                     "event=config_waits index={} cause={waited:?}",
                     subscriber.image().index
@@ -55,13 +55,13 @@
                 self.publish(&subscriber);
             }
             match event {
-                Some(SubscriberEvent::InForce(index)) => {
+                Some(SubscriberEvent::Activated(index)) => {
                     log::info!("event=config_in_force index={index}");
                     changed(&self.publish(&subscriber));
                 }
                 // The next answer comes with everything.
                 Some(SubscriberEvent::Resync) => continue,
-                Some(SubscriberEvent::Older(index)) => log::warn!(
+                Some(SubscriberEvent::Stale(index)) => log::warn!(
                     "event=config_older index={} offered={index}",
                     subscriber.image().index
                 ),
@@ -81,11 +81,11 @@
             // The host answers from what a quorum has confirmed, or not at all.
             Ok(ControlReply::Update(update)) => Some(subscriber.receive(update, true)),
             Ok(_) => {
-                subscriber.unanswered("a ledger host answered something else");
+                subscriber.record_no_answer("a ledger host answered something else");
                 None
             }
             Err(fault) => {
-                subscriber.unanswered(fault);
+                subscriber.record_no_answer(fault);
                 None
             }
         }
--- a/crates/sapphirequayd/src/version/rules.rs
+++ b/crates/sapphirequayd/src/version/rules.rs
@@ -36,7 +36,7 @@
         Self {
             config: subscriber.config().cloned(),
             image: subscriber.image().clone(),
-            waits: subscriber.waits().into(),
+            waits: subscriber.blocked_reason().into(),
         }
     }
 
--- a/crates/sapphirequayd/tests/control.rs
+++ b/crates/sapphirequayd/tests/control.rs
@@ -4,7 +4,7 @@
 
 use {
     common::{KEY, LIMIT, Running, before_engine, completion, engine, post, post_once, wait_for},
-    quay_config::{Action, Base, ChangeId, Poll},
+    quay_config::{Action, ChangeId, Poll, SectionRevision},
     quay_link::{LinkError, LinkRole, Links},
     quay_members::{Heartbeat, MembersRequest},
     quay_standin::{Engine, EngineSettings},
@@ -239,7 +239,7 @@
     let platform = &image.sections["platform"];
     let change = Action::Change {
         section: "platform".into(),
-        base: Base {
+        base: SectionRevision {
             version: platform.version,
             digest: platform.digest,
         },
@@ -306,6 +306,10 @@
     };
     control(&entry, ledger, quarantine);
     wait_for("the entry refuses", || post_once(addr, KEY, &body).0 == 422);
-    control(&operator, ledger, order("q-2", Action::Clear(Some(digest))));
+    control(
+        &operator,
+        ledger,
+        order("q-2", Action::ClearQuarantine(Some(digest))),
+    );
     wait_for("it runs again", || post_once(addr, KEY, &body).0 == 200);
 }
