--- a/crates/quay_log/src/atomic_file.rs
+++ b/crates/quay_log/src/atomic_file.rs
@@ -1,11 +1,12 @@
-//! Files that are written whole: new first, then renamed into place.
+//! Files that are replaced atomically: written under a temporary name, synced,
+//! then renamed.
 
 use crate::{Folder, LogError, LogFile, frame};
 
-/// Ending of a file that is not in place yet.
+/// Suffix of a file that has not been renamed to its final name yet.
 pub const TEMP_SUFFIX: &str = ".new";
 
-/// Writes all bytes to a file.
+/// Writes all bytes to a file, repeating short writes.
 pub(crate) fn write_all(file: &mut impl LogFile, mut bytes: &[u8]) -> std::io::Result<()> {
     while !bytes.is_empty() {
         let written = file.write(bytes)?;
@@ -17,12 +18,13 @@
     Ok(())
 }
 
-/// Writes a file so that it is seen whole or not at all, whenever the process
-/// dies. `number` is repeated when the file is read.
+/// Creates or replaces a file atomically: after a crash at any point, readers
+/// see either the previous content or the new one. `number` is stored in the
+/// frame header and returned by [`read_checked`].
 ///
 /// # Errors
 ///
-/// [`LogError::Io`] names the file.
+/// [`LogError::Io`] with the name of the file.
 pub fn write_atomic(
     folder: &impl Folder,
     name: &str,
@@ -43,11 +45,11 @@
     write().map_err(LogError::io(name))
 }
 
-/// Reads a file that [`write_atomic`] wrote.
+/// Reads a file written by [`write_atomic`]; returns its number and payload.
 ///
 /// # Errors
 ///
-/// [`LogError::Corrupt`] if it is not as it was written.
+/// [`LogError::Corrupt`] if the frame is incomplete or its checksum is wrong.
 pub fn read_checked(folder: &impl Folder, name: &str) -> Result<(u64, Vec<u8>), LogError> {
     let bytes = folder.read(name).map_err(LogError::io(name))?;
     match frame::read(&bytes) {
@@ -55,7 +57,7 @@
         _ => Err(LogError::Corrupt {
             file: name.into(),
             offset: 0,
-            reason: "the checksum does not fit".into(),
+            reason: "invalid frame or checksum mismatch".into(),
         }),
     }
 }
--- a/crates/quay_log/src/disk_full.rs
+++ b/crates/quay_log/src/disk_full.rs
@@ -1,16 +1,17 @@
-//! Waits for room on a disk.
+//! Retries operations while the disk is full.
 
 use std::{io, thread, time::Duration};
 
-/// Pause before a disk that was full is tried again: short against the seconds
-/// in which an operator makes room.
-const AGAIN_AFTER: Duration = Duration::from_millis(100);
+/// Pause before an operation on a full disk is retried; short compared with the
+/// seconds an operator needs to free space.
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Does something that takes room, again and again while the disk is full.
+/// Runs an operation that allocates disk space, retrying it while the disk is
+/// full. `operation` names it in the log lines.
 ///
-/// A write that was refused for want of room has written nothing, so nothing is
-/// unknown: a full disk is as good as one that is slow, and the other replicas go
-/// on meanwhile.
+/// A write that fails with `StorageFull` has written nothing, so retrying it is
+/// safe. A full disk thus behaves like a slow one, and the other replicas
+/// continue meanwhile.
 ///
 /// # Errors
 ///
@@ -19,20 +20,20 @@
     operation: &str,
     mut attempt: impl FnMut() -> io::Result<T>,
 ) -> io::Result<T> {
-    let mut waits = false;
+    let mut was_full = false;
     loop {
         match attempt() {
             Err(err) if err.kind() == io::ErrorKind::StorageFull => {
-                if !std::mem::replace(&mut waits, true) {
+                if !std::mem::replace(&mut was_full, true) {
                     ::log::error!("event=disk_full operation={operation}");
                 }
-                thread::sleep(AGAIN_AFTER);
+                thread::sleep(RETRY_INTERVAL);
             }
-            done => {
-                if waits {
+            result => {
+                if was_full {
                     ::log::info!("event=disk_has_room operation={operation}");
                 }
-                return done;
+                return result;
             }
         }
     }
--- a/crates/quay_log/src/error.rs
+++ b/crates/quay_log/src/error.rs
@@ -1,36 +1,36 @@
-//! Ways in which a log can fail.
+//! Errors of the log.
 
 use std::{fmt, io};
 
-/// Why a log can't be opened or has stopped.
+/// Error of a log operation.
 #[derive(Debug)]
 pub enum LogError {
-    /// An operation on a file failed. The log takes nothing more.
+    /// A file operation failed. The log accepts no further records.
     Io {
-        /// The file, or what was done to the folder.
+        /// Name of the file, or `folder` for an operation on the folder.
         file: Box<str>,
-        /// The error.
+        /// The underlying error.
         err: io::Error,
     },
-    /// Bytes that were reported as saved are damaged.
+    /// Acknowledged data is corrupt.
     Corrupt {
-        /// The file.
+        /// Name of the file.
         file: Box<str>,
-        /// Where in the file.
+        /// Byte offset in the file.
         offset: u64,
-        /// What is wrong there.
+        /// Description of the corruption.
         reason: Box<str>,
     },
-    /// An earlier write or sync failed; what is on the disk is unknown.
+    /// An earlier write or sync failed, so the content of the disk is unknown.
     Stopped,
-    /// A value has no encoding.
+    /// A value could not be encoded.
     Encode(postcard::Error),
-    /// Records are too large for one frame.
+    /// The records exceed the maximum payload of a frame; the size in bytes.
     TooLarge(usize),
 }
 
 impl LogError {
-    /// Names the file of an [`io::Error`].
+    /// Returns a function that adds the file name to an [`io::Error`].
     pub(crate) fn io(file: &str) -> impl FnOnce(io::Error) -> Self {
         let file = file.into();
         move |err| Self::Io { file, err }
@@ -46,11 +46,13 @@
                 offset,
                 reason,
             } => {
-                write!(f, "{file}: damaged at offset {offset}: {reason}")
+                write!(f, "{file}: corrupt at offset {offset}: {reason}")
+            }
+            Self::Stopped => f.write_str("the log accepts no records after a failed write or sync"),
+            Self::Encode(err) => write!(f, "encoding failed: {err}"),
+            Self::TooLarge(bytes) => {
+                write!(f, "{bytes} bytes of records exceed the frame size limit")
             }
-            Self::Stopped => f.write_str("the log has stopped after a failed write or sync"),
-            Self::Encode(err) => write!(f, "record does not encode: {err}"),
-            Self::TooLarge(bytes) => write!(f, "records of {bytes} bytes are over the limit"),
         }
     }
 }
--- a/crates/quay_log/src/folder.rs
+++ b/crates/quay_log/src/folder.rs
@@ -1,4 +1,4 @@
-//! The files under a log, as small traits, so that tests can bring faults about.
+//! File system traits under the log, so that tests can inject faults.
 
 use {
     crate::retry_while_full,
@@ -9,99 +9,100 @@
     },
 };
 
-/// A file that is written at its end.
+/// An append-only file.
 pub trait LogFile: Send + 'static {
-    /// Writes some of `bytes` and tells how many.
+    /// Appends a prefix of `bytes` and returns its length.
     ///
     /// # Errors
     ///
-    /// Nothing is known of what was written.
+    /// After an error it is unknown how much was written.
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize>;
 
-    /// Returns once all that was written survives a loss of power.
+    /// Flushes all written data to stable storage.
     ///
     /// # Errors
     ///
-    /// Nothing is known of what survives.
+    /// After an error it is unknown which data is durable.
     fn sync(&mut self) -> io::Result<()>;
 
-    /// Cuts the file to a length.
+    /// Truncates the file to a length in bytes.
     ///
     /// # Errors
     ///
-    /// The length is unknown.
+    /// After an error the length of the file is unknown.
     fn truncate(&mut self, bytes: u64) -> io::Result<()>;
 }
 
-/// A folder of files. Names last once the folder is synced.
+/// A folder of files. Created, renamed and removed names become durable with
+/// [`Folder::sync`].
 pub trait Folder: Clone + Send + 'static {
-    /// A file of the folder.
+    /// Type of an open file.
     type File: LogFile;
 
-    /// Names of all files, in order.
+    /// Names of all files, sorted.
     ///
     /// # Errors
     ///
     /// If the folder can't be read.
     fn list(&self) -> io::Result<Vec<Box<str>>>;
 
-    /// Makes an empty file, in place of one with this name.
+    /// Creates an empty file, replacing an existing file of this name.
     ///
     /// # Errors
     ///
-    /// If it can't be made.
+    /// If the file can't be created.
     fn create(&self, name: &str) -> io::Result<Self::File>;
 
-    /// Opens a file to write at its end.
+    /// Opens an existing file for appending.
     ///
     /// # Errors
     ///
-    /// If it can't be opened.
+    /// If the file can't be opened.
     fn append(&self, name: &str) -> io::Result<Self::File>;
 
-    /// Reads a whole file.
+    /// Reads the entire file.
     ///
     /// # Errors
     ///
-    /// If it can't be read.
+    /// If the file can't be read.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
 
-    /// Gives a file another name, in place of one that has it.
+    /// Renames a file, replacing an existing file named `to`.
     ///
     /// # Errors
     ///
-    /// Either name may hold after this.
+    /// After an error the file may have either name.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
 
     /// Removes a file.
     ///
     /// # Errors
     ///
-    /// If it can't be removed.
+    /// If the file can't be removed.
     fn remove(&self, name: &str) -> io::Result<()>;
 
-    /// Returns once all names survive a loss of power.
+    /// Flushes the names of all files to stable storage.
     ///
     /// # Errors
     ///
-    /// Nothing is known of which names survive.
+    /// After an error it is unknown which names are durable.
     fn sync(&self) -> io::Result<()>;
 }
 
-/// A folder of the file system.
+/// A [`Folder`] in the file system.
 #[derive(Debug, Clone)]
 pub struct DiskFolder(PathBuf);
 
-/// A file of the file system.
+/// A [`LogFile`] in the file system.
 #[derive(Debug)]
 pub struct DiskFile(File);
 
 impl DiskFolder {
-    /// The folder at a path, which is made if it is missing.
+    /// Opens the folder at a path, creating it if it does not exist.
     ///
     /// # Errors
     ///
-    /// If it can't be made.
+    /// If the folder can't be created.
     pub fn create(path: impl AsRef<Path>) -> io::Result<Self> {
         let path = path.as_ref();
         if !path.is_dir() {
@@ -113,11 +114,11 @@
         Ok(Self(path.into()))
     }
 
-    /// The folder at a path, which must be there.
+    /// Opens an existing folder.
     ///
     /// # Errors
     ///
-    /// If it is not there.
+    /// If the folder does not exist or can't be read.
     pub fn open(path: impl AsRef<Path>) -> io::Result<Self> {
         fs::read_dir(path.as_ref())?;
         Ok(Self(path.as_ref().into()))
@@ -160,7 +161,7 @@
     }
 
     fn create(&self, name: &str) -> io::Result<DiskFile> {
-        // Appending, so that a cut does not leave a hole.
+        // Opened in append mode, so that a write after a truncation leaves no hole.
         retry_while_full("create", || fs::write(self.0.join(name), []))?;
         self.append(name)
     }
--- a/crates/quay_log/src/inspect.rs
+++ b/crates/quay_log/src/inspect.rs
@@ -1,4 +1,4 @@
-//! Tells what the files of a folder hold, without changing them.
+//! Reports the content of the files in a folder without changing them.
 
 use {
     crate::{
@@ -10,29 +10,29 @@
     std::fmt,
 };
 
-/// What is said of an incomplete last frame.
+/// Fault reported for an incomplete last frame.
 const TORN_TAIL: &str = "torn tail";
 
-/// What one file holds.
+/// Content of one file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FileReport {
-    /// The file.
+    /// Name of the file.
     pub name: Box<str>,
-    /// Its size.
+    /// Size of the file in bytes.
     pub bytes: u64,
-    /// Frames that were read.
+    /// Number of valid frames.
     pub frames: u64,
-    /// Entries in them, replaced ones included.
+    /// Number of entries in the frames, including replaced ones.
     pub entries: u64,
-    /// Least and greatest index of the entries, or the index of a snapshot.
+    /// Smallest and largest index of the entries, or the index of a snapshot.
     pub range: Option<(LogIndex, LogIndex)>,
-    /// What is wrong, and where.
+    /// Byte offset and description of the first fault.
     pub fault: Option<(u64, Box<str>)>,
 }
 
 impl FileReport {
-    /// Whether the only fault is an incomplete last frame, which recovery cuts
-    /// if the file is the last segment.
+    /// Whether the only fault is an incomplete last frame, which recovery
+    /// truncates if the file is the last segment.
     #[must_use]
     pub fn is_torn(&self) -> bool {
         matches!(&self.fault, Some((_, reason)) if &**reason == TORN_TAIL)
@@ -56,11 +56,11 @@
     }
 }
 
-/// Tells what every file of a log's folder holds.
+/// Reports the content of every file in the folder of a log.
 ///
 /// # Errors
 ///
-/// If a file can't be read; damage is part of the report.
+/// If a file can't be read. Corruption is part of the report, not an error.
 pub fn inspect(folder: &impl Folder) -> Result<Vec<FileReport>, LogError> {
     let names = folder.list().map_err(LogError::io("folder"))?;
     let snapshots = snapshot::list(folder)?;
@@ -79,7 +79,7 @@
             inspect_segment(&mut report, &bytes, number);
         } else if snapshots.contains(&report.name) {
             match snapshot::read(folder, &report.name) {
-                Ok(held) => report.range = Some((held.index, held.index)),
+                Ok(snapshot) => report.range = Some((snapshot.index, snapshot.index)),
                 Err(err) => report.fault = Some((0, err.to_string().into())),
             }
         }
@@ -88,7 +88,7 @@
     Ok(reports)
 }
 
-/// Fills in what a segment holds.
+/// Fills in the report of a segment.
 fn inspect_segment(report: &mut FileReport, bytes: &[u8], number: u64) {
     let (batches, end) = match segment::read(bytes, number) {
         Ok(read) => read,
--- a/crates/quay_log/src/lib.rs
+++ b/crates/quay_log/src/lib.rs
@@ -1,9 +1,10 @@
 //! Segmented durable log with checksums and snapshots.
 //!
-//! Records that are appended together form one frame: one write, one sync, one
-//! checksum. Nothing is reported as saved before its sync. After a crash only
-//! the last frame can be incomplete, and it is cut; damage before it is an
-//! error, because what follows it was reported as saved.
+//! Records that are appended together form one frame, which is written and
+//! synced once and carries one checksum. An append is acknowledged only after
+//! its sync. After a crash only the last frame can be incomplete, and recovery
+//! truncates it. Corruption before the last frame is an error, because the
+//! frames after the damaged one were acknowledged.
 //!
 //! ```
 //! use quay_log::{DiskFolder, Log, LogSettings, Record};
@@ -13,7 +14,7 @@
 //! let folder = DiskFolder::create(dir.path()).expect("folder");
 //! let entry = Record::Entry { index: LogIndex(1), term: Epoch(1), body: [7].into() };
 //! let (mut log, _) = Log::open(folder.clone(), LogSettings::default()).expect("log");
-//! log.append(&[entry]).expect("saved");
+//! log.append(&[entry]).expect("appended");
 //! drop(log);
 //!
 //! let (_, recovered) = Log::open(folder, LogSettings::default()).expect("log");
--- a/crates/quay_log/src/log.rs
+++ b/crates/quay_log/src/log.rs
@@ -1,4 +1,4 @@
-//! The log: appends, snapshots, recovery.
+//! The log: appending, compaction and recovery.
 
 use {
     crate::{
@@ -11,10 +11,10 @@
     quay_types::{Epoch, LogIndex},
 };
 
-/// Limits of a log.
+/// Settings of a log.
 #[derive(Debug, Clone, Copy)]
 pub struct LogSettings {
-    /// A segment that has reached this size is closed.
+    /// Size in bytes at which a segment is closed and the next one is started.
     pub segment_bytes: u64,
 }
 
@@ -26,71 +26,74 @@
     }
 }
 
-/// An incomplete last frame that was cut; it was never reported as saved.
+/// An incomplete last frame that recovery removed. The frame was never
+/// acknowledged.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TornTail {
-    /// The file.
+    /// Name of the segment.
     pub file: Box<str>,
-    /// Where the frame started.
+    /// Byte offset at which the frame started.
     pub offset: u64,
-    /// Bytes that were cut.
+    /// Number of bytes removed.
     pub bytes: u64,
 }
 
-/// What a log held when it was opened.
+/// Content of a log when it was opened.
 #[derive(Debug, Clone, Default)]
 pub struct Recovered {
-    /// Term and vote.
+    /// Latest term and vote.
     pub hard_state: HardState,
     /// The newest snapshot.
     pub snapshot: Option<Snapshot>,
     /// Entries after the snapshot, contiguous.
     pub entries: Vec<LogEntry>,
-    /// What was cut.
-    pub cut: Option<TornTail>,
+    /// The incomplete last frame that was removed, if any.
+    pub torn_tail: Option<TornTail>,
 }
 
-/// A segment that takes no more frames.
+/// A full segment, which receives no more frames.
 #[derive(Debug)]
 struct Closed {
     name: Box<str>,
-    /// Greatest index of its entries.
+    /// Largest index of the entries in the segment.
     last: LogIndex,
 }
 
-/// The segment that takes frames.
+/// The segment that new frames are appended to.
 #[derive(Debug)]
 struct Active<T> {
     file: T,
     name: Box<str>,
     bytes: u64,
-    /// Greatest index of its entries.
+    /// Largest index of the entries in the segment.
     last: LogIndex,
 }
 
-/// A durable log. After the first failed write or sync it takes nothing more:
-/// what the disk holds is unknown, and a later sync could report bytes as saved
-/// that an earlier one has lost.
+/// A durable log. After the first failed write or sync it rejects all further
+/// operations: the content of the disk is unknown, and a later sync could
+/// succeed although an earlier failed sync lost data.
 #[derive(Debug)]
 pub struct Log<F: Folder> {
     folder: F,
     cfg: LogSettings,
-    /// Oldest first.
+    /// Closed segments, oldest first.
     closed: Vec<Closed>,
     active: Option<Active<F::File>>,
-    /// Number of the next frame.
+    /// Number of the next frame to write.
     next: u64,
-    /// Repeated at the start of each segment, so that older ones can go.
+    /// Latest term and vote; repeated at the start of each segment, so that
+    /// older segments can be removed.
     hard_state: HardState,
     stopped: bool,
 }
 
 impl<F: Folder> Log<F> {
-    /// Opens the log of a folder and recovers what it holds.
+    /// Opens the log in a folder and recovers its content.
     ///
     /// # Errors
     ///
-    /// [`LogError::Corrupt`] names file and offset.
+    /// [`LogError::Corrupt`] with file and offset if acknowledged data is
+    /// corrupt.
     pub fn open(folder: F, cfg: LogSettings) -> Result<(Self, Recovered), LogError> {
         let mut log = Self {
             folder,
@@ -106,30 +109,33 @@
         Ok((log, recovered))
     }
 
-    /// Saves records as one frame with one sync. Once this returns they survive.
+    /// Appends records as one frame and syncs it. The records are durable when
+    /// this returns `Ok`.
     ///
     /// # Errors
     ///
-    /// Nothing is acknowledged and the log takes nothing more.
+    /// The records may or may not be durable, and the log accepts no more.
     pub fn append(&mut self, records: &[Record]) -> Result<(), LogError> {
         if self.stopped {
             return Err(LogError::Stopped);
         }
-        let saved = self.try_append(records);
-        self.stopped = saved.is_err();
-        saved
+        let result = self.try_append(records);
+        self.stopped = result.is_err();
+        result
     }
 
-    /// Removes the segments whose entries a saved snapshot covers.
+    /// Removes the closed segments whose entries are all covered by a saved
+    /// snapshot, that is, have an index up to `covered`.
     ///
     /// # Errors
     ///
-    /// If a file can't be removed; the log takes nothing more.
+    /// If a file can't be removed; the log accepts no more records.
     pub fn compact(&mut self, covered: LogIndex) -> Result<(), LogError> {
         if self.stopped {
             return Err(LogError::Stopped);
         }
-        // Only the oldest may go: recovery asks for consecutive segments.
+        // Removed from the oldest on, because recovery requires consecutive
+        // segments.
         while self
             .closed
             .first()
@@ -143,7 +149,7 @@
         Ok(())
     }
 
-    /// The folder of the log.
+    /// Folder that holds the files of the log.
     pub const fn folder(&self) -> &F {
         &self.folder
     }
@@ -154,14 +160,14 @@
     /// Writes and syncs one frame.
     fn try_append(&mut self, records: &[Record]) -> Result<(), LogError> {
         let full = |active: &Active<F::File>| active.bytes >= self.cfg.segment_bytes;
-        let starts = self.active.as_ref().is_none_or(full);
+        let starts_segment = self.active.as_ref().is_none_or(full);
         let mut buf = frame::start();
-        if starts {
+        if starts_segment {
             buf = record::encode(buf, [&Record::HardState(self.hard_state)])?;
         }
         buf = record::encode(buf, records)?;
         frame::seal(&mut buf, self.next)?;
-        if starts {
+        if starts_segment {
             self.start_segment()?;
         }
         if let Some(active) = &mut self.active {
@@ -171,7 +177,7 @@
             let indices = records.iter().filter_map(Record::index);
             active.last = indices.fold(active.last, LogIndex::max);
         }
-        if starts {
+        if starts_segment {
             self.folder.sync().map_err(LogError::io("folder"))?;
         }
         self.next += 1;
@@ -183,7 +189,7 @@
         Ok(())
     }
 
-    /// Makes a new segment the active one.
+    /// Creates a segment and makes it the active one.
     fn start_segment(&mut self) -> Result<(), LogError> {
         let name = segment::name(self.next);
         let file = self.folder.create(&name).map_err(LogError::io(&name))?;
@@ -205,12 +211,14 @@
     // -----------------------------------------------------------------------
     // Recovery
 
-    /// Reads snapshot and segments.
+    /// Reads the newest snapshot and all segments.
     fn recover(&mut self) -> Result<Recovered, LogError> {
         let snapshot = snapshot::recover(&self.folder)?;
         let covered = snapshot
             .as_ref()
-            .map_or((LogIndex(0), Epoch(0)), |held| (held.index, held.term));
+            .map_or((LogIndex(0), Epoch(0)), |snapshot| {
+                (snapshot.index, snapshot.term)
+            });
         let mut replay = Replay::new(covered.0, covered.1);
         let names = self.folder.list().map_err(LogError::io("folder"))?;
         let mut segments: Vec<(u64, Box<str>)> = names
@@ -218,11 +226,11 @@
             .filter_map(|name| segment::number(&name).map(|number| (number, name)))
             .collect();
         segments.sort_unstable();
-        let mut cut = None;
+        let mut torn_tail = None;
         let count = segments.len();
-        for (slot, (number, name)) in segments.into_iter().enumerate() {
-            let last = slot + 1 == count;
-            cut = self.recover_segment(&mut replay, number, name, last)?;
+        for (position, (number, name)) in segments.into_iter().enumerate() {
+            let last = position + 1 == count;
+            torn_tail = self.recover_segment(&mut replay, number, name, last)?;
         }
         let (hard_state, entries) = replay.finish().map_err(|err| LogError::Corrupt {
             file: "snapshot".into(),
@@ -233,11 +241,11 @@
             hard_state,
             snapshot,
             entries,
-            cut,
+            torn_tail,
         })
     }
 
-    /// Reads one segment; only the last may have a torn tail.
+    /// Reads one segment; only the last segment may have a torn tail.
     fn recover_segment(
         &mut self,
         replay: &mut Replay,
@@ -252,19 +260,22 @@
         };
         let first = self.active.is_none() && self.closed.is_empty();
         if !first && number != self.next {
-            let reason = format!("the segment with frame {} is missing", self.next);
+            let reason = format!(
+                "the segment that starts with frame {} is missing",
+                self.next
+            );
             return Err(corrupt(0, reason.into()));
         }
         let bytes = self.folder.read(&name).map_err(LogError::io(&name))?;
         let (batches, end) =
             segment::read(&bytes, number).map_err(|fault| corrupt(fault.offset, fault.reason))?;
         let kept = match end {
-            End::Whole => bytes.len(),
+            End::Complete => bytes.len(),
             End::Torn(offset) if last => offset,
             End::Torn(offset) => {
                 return Err(corrupt(
                     offset,
-                    "a frame before the last segment is bad".into(),
+                    "incomplete frame before the last segment".into(),
                 ));
             }
         };
@@ -278,32 +289,35 @@
                     .map_err(|err| corrupt(batch.offset, err.to_string().into()))?;
             }
         }
-        self.adopt(name, kept, bytes.len(), greatest)
+        self.activate(name, kept, bytes.len(), greatest)
     }
 
-    /// Makes a recovered segment the active one, less its torn tail.
-    fn adopt(
+    /// Removes the torn tail of a recovered segment and makes the segment the
+    /// active one.
+    fn activate(
         &mut self,
         name: Box<str>,
         kept: usize,
         bytes: usize,
         last: LogIndex,
     ) -> Result<Option<TornTail>, LogError> {
-        let cut = (kept < bytes).then(|| TornTail {
+        let torn_tail = (kept < bytes).then(|| TornTail {
             file: name.clone(),
             offset: kept as u64,
             bytes: (bytes - kept) as u64,
         });
         if kept == 0 {
-            // The crash came before its first frame was synced.
+            // The process crashed before the first frame of the segment was
+            // synced.
             self.folder.remove(&name).map_err(LogError::io(&name))?;
-            return Ok(cut);
+            return Ok(torn_tail);
         }
         let mut file = self.folder.append(&name).map_err(LogError::io(&name))?;
-        if cut.is_some() {
+        if torn_tail.is_some() {
             file.truncate(kept as u64).map_err(LogError::io(&name))?;
         }
-        // What was read may not be synced, if the process died after a write.
+        // The data may be unsynced if the process crashed between write and
+        // sync.
         file.sync().map_err(LogError::io(&name))?;
         let active = Active {
             file,
@@ -317,6 +331,6 @@
                 last: full.last,
             });
         }
-        Ok(cut)
+        Ok(torn_tail)
     }
 }
--- a/crates/quay_log/src/record.rs
+++ b/crates/quay_log/src/record.rs
@@ -1,4 +1,4 @@
-//! What a log holds.
+//! Records of the log.
 
 use {
     crate::LogError,
@@ -6,47 +6,47 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Term and vote of a replica.
+/// Persistent election state of a replica: its latest term and its vote.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
     /// Latest term that the replica has seen.
     pub term: Epoch,
-    /// Whom it voted for in that term.
+    /// Replica that received the vote in that term, if any.
     pub vote: Option<NodeId>,
 }
 
 /// One entry of a replicated log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LogEntry {
-    /// Its index.
+    /// Index of the entry.
     pub index: LogIndex,
-    /// Its term.
+    /// Term in which the entry was proposed.
     pub term: Epoch,
-    /// What it carries, encoded by the user of the log.
+    /// Payload, encoded by the caller.
     pub body: Box<[u8]>,
 }
 
-/// One record. Later records win over earlier ones.
+/// One record. Later records override earlier ones.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
-    /// Term and vote.
+    /// Latest term and vote.
     HardState(HardState),
-    /// An entry; it replaces those that were saved from its index on.
+    /// An entry; it replaces all earlier entries with this or a higher index.
     Entry {
-        /// Its index.
+        /// Index of the entry.
         index: LogIndex,
-        /// Its term.
+        /// Term in which the entry was proposed.
         term: Epoch,
-        /// What it carries.
+        /// Payload, encoded by the caller.
         #[serde(with = "quay_types::bytes")]
         body: Box<[u8]>,
     },
-    /// Every entry is dropped, because a snapshot has replaced them.
+    /// Discards all earlier entries, because a snapshot replaces them.
     Reset,
 }
 
 impl Record {
-    /// Index of an entry.
+    /// Index, if the record is an entry.
     pub(crate) const fn index(&self) -> Option<LogIndex> {
         match self {
             Self::Entry { index, .. } => Some(*index),
@@ -55,7 +55,7 @@
     }
 }
 
-/// Adds encoded records to a frame.
+/// Appends encoded records to a frame.
 pub(crate) fn encode<'a>(
     mut buf: Vec<u8>,
     records: impl IntoIterator<Item = &'a Record>,
@@ -66,7 +66,7 @@
     Ok(buf)
 }
 
-/// Reads the records of a payload; `None` if it holds anything else.
+/// Decodes the records of a payload; `None` if the payload is malformed.
 pub(crate) fn decode(mut payload: &[u8]) -> Option<Vec<Record>> {
     let mut records = Vec::new();
     while !payload.is_empty() {
--- a/crates/quay_log/src/replay.rs
+++ b/crates/quay_log/src/replay.rs
@@ -1,4 +1,4 @@
-//! Decides what a log holds from its records, in order.
+//! Rebuilds the content of a log by replaying its records in order.
 
 use {
     crate::{HardState, LogEntry, Record},
@@ -6,12 +6,12 @@
     std::fmt,
 };
 
-/// Why records do not form a log.
+/// A gap in the entries of a log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReplayError {
-    /// Index that was expected at the latest.
+    /// Highest index that would have been contiguous.
     pub expected: LogIndex,
-    /// Index that came.
+    /// Index of the entry found instead.
     pub found: LogIndex,
 }
 
@@ -19,7 +19,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "entry {} where at most {} fits",
+            "gap before entry {}: expected index {} or lower",
             self.found, self.expected
         )
     }
@@ -28,16 +28,16 @@
 /// The state of a replay.
 #[derive(Debug, Clone, Default)]
 pub struct Replay {
-    /// Last entry that the snapshot covers, and its term.
+    /// Index and term of the last entry covered by the snapshot.
     covered: (LogIndex, Epoch),
     hard_state: HardState,
-    /// Contiguous.
+    /// Entries so far, contiguous.
     entries: Vec<LogEntry>,
 }
 
 impl Replay {
-    /// A replay of the records beside a snapshot that covers entries up to the
-    /// given one.
+    /// Starts a replay on top of a snapshot that covers the entries up to the
+    /// given index and term.
     #[must_use]
     pub fn new(index: LogIndex, term: Epoch) -> Self {
         Self {
@@ -46,25 +46,25 @@
         }
     }
 
-    /// Takes the next record.
+    /// Applies the next record.
     ///
     /// # Errors
     ///
-    /// If entries are missing before it.
+    /// If entries are missing before the given one.
     pub fn push(&mut self, record: Record) -> Result<(), ReplayError> {
         match record {
             Record::HardState(hard_state) => self.hard_state = hard_state,
             Record::Reset => self.entries.clear(),
             Record::Entry { index, term, body } => {
-                self.make_room(index)?;
+                self.truncate_from(index)?;
                 self.entries.push(LogEntry { index, term, body });
             }
         }
         Ok(())
     }
 
-    /// Drops the entries that one at `index` replaces.
-    fn make_room(&mut self, index: LogIndex) -> Result<(), ReplayError> {
+    /// Removes the entries that an entry at `index` replaces.
+    fn truncate_from(&mut self, index: LogIndex) -> Result<(), ReplayError> {
         let after_snapshot = self.covered.0.0 + 1;
         let first = self.entries.first().map(|entry| entry.index.0);
         let next = first.map_or(0, |first| first + self.entries.len() as u64);
@@ -79,22 +79,23 @@
                 let kept = usize::try_from(index.0 - first).unwrap_or(usize::MAX);
                 self.entries.truncate(kept);
             }
-            // The snapshot covers what lies between.
+            // The snapshot covers the entries in the gap.
             _ => self.entries.clear(),
         }
         Ok(())
     }
 
-    /// The term and vote, and the entries after the snapshot.
+    /// Returns the latest term and vote, and the entries after the snapshot.
     ///
     /// # Errors
     ///
-    /// If entries are missing between the snapshot and the first one.
+    /// If entries are missing between the snapshot and the first entry.
     pub fn finish(mut self) -> Result<(HardState, Vec<LogEntry>), ReplayError> {
         let (covered, term) = self.covered;
         let at_snapshot = self.entries.iter().find(|entry| entry.index == covered);
         if at_snapshot.is_some_and(|entry| entry.term != term) {
-            // The snapshot came from another leader; these entries lost.
+            // The snapshot came from another leader, whose log supersedes
+            // these entries.
             self.entries.clear();
         }
         self.entries.retain(|entry| entry.index > covered);
--- a/crates/quay_log/src/segment.rs
+++ b/crates/quay_log/src/segment.rs
@@ -2,44 +2,45 @@
 
 use crate::{Record, frame, record};
 
-/// Start of the names of segments.
+/// Prefix of segment file names.
 const PREFIX: &str = "segment-";
 
-/// Name of the segment whose first frame has a number.
+/// File name of the segment whose first frame has the given number.
 pub(crate) fn name(number: u64) -> Box<str> {
     format!("{PREFIX}{number:016x}").into()
 }
 
-/// Number of the first frame, from the name.
+/// Number of the first frame, parsed from the file name; `None` if the file is
+/// not a segment.
 pub(crate) fn number(name: &str) -> Option<u64> {
     let digits = name.strip_prefix(PREFIX)?;
     u64::from_str_radix(digits, 16).ok()
 }
 
-/// What is wrong at an offset of a segment.
+/// Corruption found in a segment.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Fault {
     pub(crate) offset: usize,
     pub(crate) reason: Box<str>,
 }
 
-/// How the frames of a segment end.
+/// State of the end of a segment.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum End {
-    /// With the file.
-    Whole,
-    /// With an incomplete frame that nothing follows, at this offset.
+    /// The last frame ends at the end of the file.
+    Complete,
+    /// An incomplete last frame starts at this offset.
     Torn(usize),
 }
 
-/// One frame of a segment.
+/// Offset and records of one frame.
 #[derive(Debug, Clone)]
 pub(crate) struct Batch {
     pub(crate) offset: usize,
     pub(crate) records: Vec<Record>,
 }
 
-/// Reads every frame of a segment; `next` is the number of the first.
+/// Reads all frames of a segment; `next` is the number of the first frame.
 pub(crate) fn read(bytes: &[u8], mut next: u64) -> Result<(Vec<Batch>, End), Fault> {
     let mut batches = Vec::new();
     let mut offset = 0;
@@ -49,27 +50,32 @@
             return end(rest, offset, next).map(|end| (batches, end));
         };
         if frame.number != next {
-            let reason = format!("frame {} where {next} is due", frame.number).into();
+            let reason = format!("found frame {}, expected frame {next}", frame.number).into();
             return Err(Fault { offset, reason });
         }
         let records = record::decode(frame.payload).ok_or_else(|| Fault {
             offset,
-            reason: "the records do not decode".into(),
+            reason: "the records can't be decoded".into(),
         })?;
         batches.push(Batch { offset, records });
         offset += frame.bytes();
         next += 1;
     }
-    Ok((batches, End::Whole))
+    Ok((batches, End::Complete))
 }
 
-/// Decides between a torn tail and damage. Each frame is synced before the
-/// next is written: a frame that is followed by another was whole once.
+/// Distinguishes a torn tail from corruption. Each frame is synced before the
+/// next one is written, so an invalid frame that is followed by a valid one was
+/// complete once and has been corrupted.
 fn end(rest: &[u8], offset: usize, number: u64) -> Result<End, Fault> {
     match frame::find_after(rest, number) {
         Some(later) => Err(Fault {
             offset,
-            reason: format!("a whole frame follows at offset {}", offset + later).into(),
+            reason: format!(
+                "invalid frame, but a valid one follows at offset {}",
+                offset + later
+            )
+            .into(),
         }),
         None => Ok(End::Torn(offset)),
     }
--- a/crates/quay_log/src/snapshot.rs
+++ b/crates/quay_log/src/snapshot.rs
@@ -1,49 +1,50 @@
-//! Snapshots: the state after an entry, each in a file of its own.
+//! Snapshots of the state machine, each in its own file.
 
 use {
     crate::{Folder, LogError, atomic_file::TEMP_SUFFIX, read_checked, write_atomic},
     quay_types::{Epoch, LogIndex},
 };
 
-/// Start of the names of snapshots.
+/// Prefix of snapshot file names.
 const PREFIX: &str = "snapshot-";
 
-/// The state after an entry.
+/// State of the state machine after an entry was applied.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Snapshot {
-    /// Last entry that it covers.
+    /// Index of the last entry covered by the snapshot.
     pub index: LogIndex,
     /// Term of that entry.
     pub term: Epoch,
-    /// What the user of the log keeps beside the state, such as the members.
+    /// Data that the caller stores beside the state, such as the members.
     pub metadata: Box<[u8]>,
     /// The encoded state.
     pub data: Box<[u8]>,
 }
 
-/// Name of the snapshot that covers entries up to `index`.
+/// File name of the snapshot that covers the entries up to `index`.
 fn name(index: LogIndex) -> Box<str> {
     format!("{PREFIX}{:016x}", index.0).into()
 }
 
-/// Saves a snapshot, then removes older ones.
+/// Saves a snapshot, then removes the older ones.
 ///
 /// # Errors
 ///
-/// [`LogError::Io`] names the file; the older snapshots are still there.
+/// [`LogError::Io`] with the name of the file. If saving failed, the older
+/// snapshots still exist.
 pub fn save_snapshot(folder: &impl Folder, snapshot: &Snapshot) -> Result<(), LogError> {
-    let head = (snapshot.term, &snapshot.metadata);
-    let mut payload = postcard::to_stdvec(&head).map_err(LogError::Encode)?;
+    let header = (snapshot.term, &snapshot.metadata);
+    let mut payload = postcard::to_stdvec(&header).map_err(LogError::Encode)?;
     payload.extend_from_slice(&snapshot.data);
-    let kept = name(snapshot.index);
-    write_atomic(folder, &kept, snapshot.index.0, &payload)?;
-    for old in list(folder)?.into_iter().filter(|old| *old < kept) {
+    let file = name(snapshot.index);
+    write_atomic(folder, &file, snapshot.index.0, &payload)?;
+    for old in list(folder)?.into_iter().filter(|old| *old < file) {
         folder.remove(&old).map_err(LogError::io(&old))?;
     }
     Ok(())
 }
 
-/// Names of the snapshots, oldest first.
+/// File names of the snapshots, oldest first.
 pub(crate) fn list(folder: &impl Folder) -> Result<Vec<Box<str>>, LogError> {
     let mut names = folder.list().map_err(LogError::io("folder"))?;
     names.retain(|name| name.starts_with(PREFIX) && !name.ends_with(TEMP_SUFFIX));
@@ -51,7 +52,7 @@
     Ok(names)
 }
 
-/// Reads a snapshot.
+/// Reads the snapshot in a file.
 pub(crate) fn read(folder: &impl Folder, file: &str) -> Result<Snapshot, LogError> {
     let (index, payload) = read_checked(folder, file)?;
     let corrupt = |reason: &str| LogError::Corrupt {
@@ -59,36 +60,39 @@
         offset: 0,
         reason: reason.into(),
     };
-    let (head, data): ((Epoch, Box<[u8]>), &[u8]) =
-        postcard::take_from_bytes(&payload).map_err(|_| corrupt("the head does not decode"))?;
+    let (header, data): ((Epoch, Box<[u8]>), &[u8]) =
+        postcard::take_from_bytes(&payload).map_err(|_| corrupt("the header can't be decoded"))?;
     let index = LogIndex(index);
     if *name(index) != *file {
-        return Err(corrupt("the name does not fit the content"));
+        return Err(corrupt(
+            "the file name differs from the index in the content",
+        ));
     }
     Ok(Snapshot {
         index,
-        term: head.0,
-        metadata: head.1,
+        term: header.0,
+        metadata: header.1,
         data: data.into(),
     })
 }
 
-/// Reads the newest snapshot and removes what a crash left half done.
+/// Removes temporary files left by a crash and reads the newest snapshot.
 ///
-/// A damaged one is an error: the entries that it covers may be gone.
+/// A corrupt snapshot is an error, because the entries that it covers may
+/// already have been removed.
 pub(crate) fn recover(folder: &impl Folder) -> Result<Option<Snapshot>, LogError> {
     let names = folder.list().map_err(LogError::io("folder"))?;
-    for half in names.iter().filter(|name| name.ends_with(TEMP_SUFFIX)) {
-        folder.remove(half).map_err(LogError::io(half))?;
+    for temp in names.iter().filter(|name| name.ends_with(TEMP_SUFFIX)) {
+        folder.remove(temp).map_err(LogError::io(temp))?;
     }
     read_newest_snapshot(folder)
 }
 
-/// Reads the newest snapshot.
+/// Reads the newest snapshot; `None` if there is none.
 ///
 /// # Errors
 ///
-/// [`LogError::Corrupt`] if it is not as it was written.
+/// [`LogError::Corrupt`] if the snapshot fails its checks.
 pub fn read_newest_snapshot(folder: &impl Folder) -> Result<Option<Snapshot>, LogError> {
     match list(folder)?.last() {
         Some(newest) => read(folder, newest).map(Some),
--- a/crates/quay_log/tests/files/damage.rs
+++ b/crates/quay_log/tests/files/corruption.rs
@@ -1,4 +1,5 @@
-//! Damaged bytes: a torn tail is cut, everything else is named.
+//! Tests with corrupt files: a torn tail is truncated, other corruption is
+//! reported.
 
 use {
     crate::memory_folder::MemoryFolder,
@@ -9,7 +10,7 @@
 
 const CFG: LogSettings = LogSettings { segment_bytes: 400 };
 
-fn filled(entries: u64) -> MemoryFolder {
+fn log_with_entries(entries: u64) -> MemoryFolder {
     let folder = MemoryFolder::default();
     let (mut log, _) = Log::open(folder.clone(), CFG).expect("log");
     for index in 1..=entries {
@@ -19,14 +20,14 @@
             term: Epoch(1),
             body,
         };
-        log.append(&[entry]).expect("saved");
+        log.append(&[entry]).expect("appended");
     }
     folder
 }
 
 #[test]
-fn damage_before_the_tail_names_file_and_offset() {
-    let folder = filled(30);
+fn corruption_before_the_tail_is_reported_with_file_and_offset() {
+    let folder = log_with_entries(30);
     let names = folder.list().expect("names");
     assert!(names.len() > 2, "{names:?}");
     let mut bytes = folder.read(&names[0]).expect("bytes");
@@ -46,8 +47,8 @@
 }
 
 #[test]
-fn a_missing_segment_is_damage() {
-    let folder = filled(30);
+fn a_missing_segment_is_corruption() {
+    let folder = log_with_entries(30);
     let names = folder.list().expect("names");
     folder.remove(&names[1]).expect("removed");
     assert!(matches!(
@@ -57,33 +58,36 @@
 }
 
 #[test]
-fn a_torn_tail_is_cut_and_the_log_goes_on() {
-    let folder = filled(3);
+fn a_torn_tail_is_truncated_and_appending_continues() {
+    let folder = log_with_entries(3);
     let name = &folder.list().expect("names")[0];
     let mut bytes = folder.read(name).expect("bytes");
     bytes.truncate(bytes.len() - 3);
     folder.put(name, bytes);
     let (mut log, recovered) = Log::open(folder.clone(), CFG).expect("log");
     assert_eq!(recovered.entries.len(), 2);
-    assert_eq!(recovered.cut.expect("cut").file, *name);
+    assert_eq!(
+        recovered.torn_tail.expect("a torn tail was truncated").file,
+        *name
+    );
     let entry = Record::Entry {
         index: LogIndex(3),
         term: Epoch(2),
         body: [1].into(),
     };
-    log.append(&[entry]).expect("saved");
+    log.append(&[entry]).expect("appended");
     let (_, recovered) = Log::open(folder, CFG).expect("log");
     assert_eq!(recovered.entries.len(), 3);
-    assert_eq!(recovered.cut, None);
+    assert_eq!(recovered.torn_tail, None);
 }
 
 proptest! {
-    /// One changed byte is never taken for other content: it is named, or it
-    /// hits the last frame, which is cut.
+    /// A single changed byte is either reported as corruption, or lies in the
+    /// last frame, which is truncated; it never changes an entry.
     #[test]
     fn a_changed_byte_never_changes_an_entry(at in any::<prop::sample::Index>(), flip in 1u8..) {
-        let folder = filled(8);
-        let (_, whole) = Log::open(folder.clone(), CFG).expect("log");
+        let folder = log_with_entries(8);
+        let (_, intact) = Log::open(folder.clone(), CFG).expect("log");
         let names = folder.list().expect("names");
         let name = &names[at.index(names.len())];
         let mut bytes = folder.read(name).expect("bytes");
@@ -93,16 +97,15 @@
         match Log::open(folder, CFG) {
             Err(LogError::Corrupt { .. }) => {}
             Err(err) => panic!("{err}"),
-            Ok((_, held)) => {
-                prop_assert!(held.entries.len() + 1 == whole.entries.len());
-                prop_assert_eq!(&held.entries[..], &whole.entries[..held.entries.len()]);
+            Ok((_, recovered)) => {
+                prop_assert!(recovered.entries.len() + 1 == intact.entries.len());
+                prop_assert_eq!(&recovered.entries[..], &intact.entries[..recovered.entries.len()]);
             }
         }
     }
 
-    /// Bytes from anywhere are read without a panic.
     #[test]
-    fn any_bytes_are_read(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_do_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let folder = MemoryFolder::default();
         folder.put("segment-0000000000000001", bytes.clone());
         folder.put("snapshot-0000000000000001", bytes);
--- a/crates/quay_log/tests/files/crash.rs
+++ b/crates/quay_log/tests/files/crash.rs
@@ -1,4 +1,6 @@
-//! A crash or a fault at every operation on files, with every kind of loss.
+//! Runs a script of log operations with a crash or an I/O fault at each file
+//! operation, followed by different losses of unsynced data, and checks what
+//! recovery finds.
 
 use {
     crate::memory_folder::{Fault, Loss, MemoryFolder},
@@ -8,7 +10,7 @@
     quay_types::{Epoch, LogIndex, NodeId},
 };
 
-/// Small, so that the script below closes several segments.
+/// Segments are small, so that the script below closes several of them.
 const CFG: LogSettings = LogSettings { segment_bytes: 150 };
 
 fn entry(index: u64, term: u64) -> Record {
@@ -19,14 +21,14 @@
     }
 }
 
-fn hard(term: u64) -> Record {
+fn hard_state(term: u64) -> Record {
     Record::HardState(HardState {
         term: Epoch(term),
         vote: Some(NodeId(term)),
     })
 }
 
-/// What was acknowledged.
+/// Expected content of the log.
 #[derive(Debug, Clone, Default, PartialEq)]
 struct Model {
     hard_state: HardState,
@@ -41,7 +43,7 @@
                 Record::HardState(hard_state) => self.hard_state = hard_state,
                 Record::Reset => self.entries.clear(),
                 Record::Entry { index, term, body } => {
-                    self.entries.retain(|held| held.index < index);
+                    self.entries.retain(|entry| entry.index < index);
                     self.entries.push(LogEntry { index, term, body });
                 }
             }
@@ -50,30 +52,33 @@
 
     fn snapshot(&mut self, index: LogIndex) {
         self.snapshot = index;
-        self.entries.retain(|held| held.index > index);
+        self.entries.retain(|entry| entry.index > index);
     }
 
-    fn of(recovered: Recovered) -> Self {
+    fn from_recovered(recovered: Recovered) -> Self {
         Self {
             hard_state: recovered.hard_state,
-            snapshot: recovered.snapshot.map_or(LogIndex(0), |held| held.index),
+            snapshot: recovered
+                .snapshot
+                .map_or(LogIndex(0), |snapshot| snapshot.index),
             entries: recovered.entries,
         }
     }
 }
 
-/// One step of the script.
+/// A step of the script.
 enum Step {
     Append(Vec<Record>),
     Snapshot(LogIndex, Epoch),
 }
 
-/// Appends, a replaced tail, snapshots of its own, one of another leader.
+/// Appends entries, replaces the last ones, saves a snapshot of the replica's
+/// own state and installs one of another leader.
 fn script() -> Vec<Step> {
-    let mut steps = vec![Step::Append(vec![hard(1)])];
+    let mut steps = vec![Step::Append(vec![hard_state(1)])];
     steps.extend((1..=9).map(|index| Step::Append(vec![entry(index, 1), entry(index + 1, 1)])));
     steps.push(Step::Append(vec![
-        hard(2),
+        hard_state(2),
         entry(8, 2),
         entry(9, 2),
         entry(10, 2),
@@ -81,12 +86,16 @@
     steps.push(Step::Snapshot(LogIndex(7), Epoch(1)));
     steps.extend((11..=16).map(|index| Step::Append(vec![entry(index, 2)])));
     steps.push(Step::Snapshot(LogIndex(30), Epoch(3)));
-    steps.push(Step::Append(vec![Record::Reset, hard(3), entry(31, 3)]));
+    steps.push(Step::Append(vec![
+        Record::Reset,
+        hard_state(3),
+        entry(31, 3),
+    ]));
     steps.extend((32..=35).map(|index| Step::Append(vec![entry(index, 3)])));
     steps
 }
 
-/// What a step makes of the acknowledged state.
+/// Expected content after a step.
 fn expected(before: &Model, step: &Step) -> Model {
     let mut after = before.clone();
     match step {
@@ -96,8 +105,8 @@
     after
 }
 
-/// Runs the script until it fails; the states that may be found afterwards:
-/// what was acknowledged, and what the failed step would have left.
+/// Runs the script until a step fails. Returns the states that recovery may
+/// find: the acknowledged state, and the state after the failed step.
 fn run(folder: &MemoryFolder) -> (Vec<Model>, Result<(), LogError>) {
     let mut model = Model::default();
     let (mut log, _) = match Log::open(folder.clone(), CFG) {
@@ -106,7 +115,7 @@
     };
     for step in script() {
         let next = expected(&model, &step);
-        let done = match &step {
+        let result = match &step {
             Step::Append(records) => log.append(records),
             Step::Snapshot(index, term) => {
                 let snapshot = Snapshot {
@@ -118,7 +127,7 @@
                 save_snapshot(folder, &snapshot).and_then(|()| log.compact(*index))
             }
         };
-        if let Err(err) = done {
+        if let Err(err) = result {
             return (vec![model, next], Err(err));
         }
         model = next;
@@ -138,39 +147,42 @@
     assert!(operations > 60, "{operations}");
     for at in 1..=operations {
         let folder = MemoryFolder::failing(at, Fault::Crash);
-        let (allowed, failed) = run(&folder);
-        assert!(failed.is_err(), "operation {at}");
+        let (allowed, result) = run(&folder);
+        assert!(result.is_err(), "operation {at}");
         for loss in [Loss::All, Loss::None, Loss::Half, Loss::FirstHalf] {
-            let left = folder.after_power_loss(loss);
-            let (_, recovered) = Log::open(left, CFG)
+            let survived = folder.after_power_loss(loss);
+            let (_, recovered) = Log::open(survived, CFG)
                 .unwrap_or_else(|err| panic!("operation {at}, {loss:?}: {err}"));
-            let found = Model::of(recovered);
+            let found = Model::from_recovered(recovered);
             assert!(
                 allowed.contains(&found),
-                "operation {at}, {loss:?}: {found:?} of {allowed:?}"
+                "operation {at}, {loss:?}: recovered {found:?}, allowed {allowed:?}"
             );
         }
     }
 }
 
 #[test]
-fn a_second_crash_during_recovery_loses_nothing_either() {
+fn a_second_crash_during_recovery_loses_nothing_acknowledged() {
     let operations = operations();
     for at in (1..=operations).step_by(3) {
         let folder = MemoryFolder::failing(at, Fault::Crash);
         let (allowed, _) = run(&folder);
-        for again in 1..4 {
-            let left = folder.after_power_loss(Loss::Half);
-            let half = MemoryFolder::failing(again, Fault::Crash);
-            for name in quay_log::Folder::list(&left).expect("list") {
-                half.put(&name, quay_log::Folder::read(&left, &name).expect("read"));
+        for second in 1..4 {
+            let survived = folder.after_power_loss(Loss::Half);
+            let restarted = MemoryFolder::failing(second, Fault::Crash);
+            for name in quay_log::Folder::list(&survived).expect("list") {
+                restarted.put(
+                    &name,
+                    quay_log::Folder::read(&survived, &name).expect("read"),
+                );
             }
-            let _ = Log::open(half.clone(), CFG);
-            let twice = half.after_power_loss(Loss::All);
-            let (_, recovered) = Log::open(twice, CFG).expect("recovered");
+            let _ = Log::open(restarted.clone(), CFG);
+            let survived = restarted.after_power_loss(Loss::All);
+            let (_, recovered) = Log::open(survived, CFG).expect("recovered");
             assert!(
-                allowed.contains(&Model::of(recovered)),
-                "operation {at}, then {again}"
+                allowed.contains(&Model::from_recovered(recovered)),
+                "operation {at}, second crash at {second}"
             );
         }
     }
@@ -180,15 +192,15 @@
 fn a_failed_write_or_sync_stops_the_log() {
     for at in 1..=operations() {
         let folder = MemoryFolder::failing(at, Fault::Fail);
-        let (mut log, _) = Log::open(folder, CFG).expect("opened");
+        let (mut log, _) = Log::open(folder, CFG).expect("log");
         let mut failed = false;
         for index in 1..=30 {
-            let done = log.append(&[entry(index, 1)]);
+            let result = log.append(&[entry(index, 1)]);
             assert!(
-                !failed || done.is_err(),
-                "operation {at}: taken after a failure"
+                !failed || result.is_err(),
+                "operation {at}: append accepted after a failure"
             );
-            failed |= done.is_err();
+            failed |= result.is_err();
         }
         if failed {
             assert!(matches!(log.append(&[]), Err(LogError::Stopped)));
@@ -197,37 +209,37 @@
 }
 
 #[test]
-fn a_short_write_is_finished() {
+fn a_short_write_is_completed() {
     for at in 1..=operations() {
-        let (mut states, done) = run(&MemoryFolder::failing(at, Fault::Short));
-        done.expect("a short write is no error");
+        let (mut states, result) = run(&MemoryFolder::failing(at, Fault::Short));
+        result.expect("a short write is not an error");
         assert_eq!(states.pop(), run(&MemoryFolder::default()).0.pop());
     }
 }
 
 #[test]
-fn a_write_that_lies_is_found_unless_it_was_the_last() {
-    let mut found = 0;
+fn a_write_of_wrong_bytes_is_detected_unless_it_was_the_last() {
+    let mut detected = 0;
     for at in 1..=operations() {
-        let folder = MemoryFolder::failing(at, Fault::Lie);
-        let (states, done) = run(&folder);
-        done.expect("the lie is not seen at once");
+        let folder = MemoryFolder::failing(at, Fault::WrongBytes);
+        let (states, result) = run(&folder);
+        result.expect("the write reports success");
         match Log::open(folder, CFG) {
             Err(LogError::Corrupt { file, .. }) => {
                 assert!(
                     file.starts_with("segment-") || file.starts_with("snapshot"),
                     "{file}"
                 );
-                found += 1;
+                detected += 1;
             }
             Err(err) => panic!("operation {at}: {err}"),
-            // The lost frame was the last, or a snapshot has replaced it.
+            // The lost frame was the last one, or a snapshot covers it.
             Ok((_, recovered)) => {
-                let held = Model::of(recovered);
-                let lost_last = held.entries.len() + 1 == states[0].entries.len();
-                assert!(held == states[0] || lost_last, "operation {at}: {held:?}");
+                let found = Model::from_recovered(recovered);
+                let lost_last = found.entries.len() + 1 == states[0].entries.len();
+                assert!(found == states[0] || lost_last, "operation {at}: {found:?}");
             }
         }
     }
-    assert!(found > 3, "{found}");
+    assert!(detected > 3, "{detected}");
 }
--- a/crates/quay_log/tests/files/disk_full.rs
+++ b/crates/quay_log/tests/files/disk_full.rs
@@ -1,4 +1,4 @@
-//! A disk that is full for a while.
+//! Operations on a disk that is temporarily full.
 
 use {
     quay_log::{LogFile as _, retry_while_full},
@@ -6,7 +6,7 @@
 };
 
 #[test]
-fn what_takes_room_is_done_once_there_is_some() {
+fn an_operation_is_retried_until_the_disk_has_space() {
     let tries = Cell::new(0);
     let done = retry_while_full("write", || {
         tries.set(tries.get() + 1);
@@ -16,12 +16,12 @@
             Ok(7)
         }
     });
-    assert_eq!(done.expect("room"), 7);
+    assert_eq!(done.expect("enough space"), 7);
     assert_eq!(tries.get(), 5);
 }
 
 #[test]
-fn any_other_error_is_told_at_once() {
+fn any_other_error_is_returned_at_once() {
     for kind in [io::ErrorKind::Other, io::ErrorKind::WriteZero] {
         let tries = Cell::new(0);
         let done: io::Result<()> = retry_while_full("write", || {
@@ -34,14 +34,14 @@
 }
 
 #[test]
-fn a_full_disk_of_the_system_is_told_as_one_without_room() {
-    // What the log relies on: the kind of the error, and that nothing is written.
+fn a_full_device_reports_storage_full() {
+    // The log relies on the kind of the error and on nothing being written.
     let full = std::fs::OpenOptions::new().append(true).open("/dev/full");
     let mut full = full.expect("a device that is always full");
-    let err = io::Write::write(&mut full, b"x").expect_err("no room");
+    let err = io::Write::write(&mut full, b"x").expect_err("the device accepted a write");
     assert_eq!(err.kind(), io::ErrorKind::StorageFull);
     let dir = tempfile::tempdir().expect("folder");
     let folder = quay_log::DiskFolder::create(dir.path()).expect("folder");
     let mut file = quay_log::Folder::create(&folder, "segment").expect("file");
-    assert_eq!(file.write(b"abc").expect("room"), 3);
+    assert_eq!(file.write(b"abc").expect("enough space"), 3);
 }
--- a/crates/quay_log/tests/files/main.rs
+++ b/crates/quay_log/tests/files/main.rs
@@ -1,6 +1,6 @@
-//! The log over files that fail, lose bytes and get damaged.
+//! Tests of the log with failing, lossy and corrupt files.
 
+mod corruption;
 mod crash;
-mod damage;
 mod disk_full;
 mod memory_folder;
--- a/crates/quay_log/tests/files/memory_folder.rs
+++ b/crates/quay_log/tests/files/memory_folder.rs
@@ -1,4 +1,4 @@
-//! A folder in memory that fails on demand and can lose power.
+//! A folder in memory that injects I/O faults and simulates power loss.
 
 use {
     quay_log::{Folder, LogFile},
@@ -9,27 +9,27 @@
     },
 };
 
-/// What goes wrong, at which operation.
+/// An injected fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// The power goes before the operation; every later one fails.
+    /// Power is lost before the operation; it and all later ones fail.
     Crash,
     /// The operation fails.
     Fail,
-    /// A write takes one byte only, and says so.
+    /// A write appends one byte only and returns 1.
     Short,
-    /// A write says that it took all and drops the bytes.
-    Lie,
+    /// A write reports success but stores zeros instead of the bytes.
+    WrongBytes,
 }
 
-/// What unsynced bytes and names become when the power goes.
+/// Fate of unsynced bytes and names when power is lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Loss {
     All,
     None,
-    /// The first half of the unsynced bytes stays.
+    /// The first half of the unsynced bytes is kept.
     Half,
-    /// The first half of the unsynced bytes is zero, the rest stays.
+    /// The first half of the unsynced bytes becomes zero, the rest is kept.
     FirstHalf,
 }
 
@@ -40,10 +40,10 @@
 }
 
 impl Content {
-    /// Content after the power went.
+    /// Content after a power loss.
     fn after(&self, loss: Loss) -> Vec<u8> {
         let synced = self.synced.len();
-        // A cut that was not synced leaves the bytes in place.
+        // An unsynced truncation is lost only with `Loss::All`.
         if self.bytes.len() < synced {
             return if loss == Loss::All {
                 self.synced.clone()
@@ -74,7 +74,7 @@
 }
 
 impl State {
-    /// Counts an operation and tells what goes wrong with it.
+    /// Counts an operation and returns the fault injected into it.
     fn operation(&mut self) -> io::Result<Option<Fault>> {
         self.operations += 1;
         let fault = self.fault.filter(|(at, _)| *at == self.operations);
@@ -101,7 +101,7 @@
 pub struct MemoryFile(MemoryFolder, usize);
 
 impl MemoryFolder {
-    /// A folder where `fault` happens at operation `at`, counted from 1.
+    /// Creates a folder that injects `fault` at operation `at`, counted from 1.
     pub fn failing(at: u64, fault: Fault) -> Self {
         let folder = Self::default();
         folder.state().fault = Some((at, fault));
@@ -112,12 +112,12 @@
         self.0.lock().expect("state")
     }
 
-    /// Operations so far.
+    /// Number of operations so far.
     pub fn operations(&self) -> u64 {
         self.state().operations
     }
 
-    /// What is left after the power went.
+    /// Returns a folder with the content that survives a power loss.
     pub fn after_power_loss(&self, loss: Loss) -> Self {
         let state = self.state();
         let names = if loss == Loss::All {
@@ -125,14 +125,14 @@
         } else {
             &state.names
         };
-        let left = Self::default();
+        let survived = Self::default();
         for (name, file) in names {
-            left.put(name, state.files[*file].after(loss));
+            survived.put(name, state.files[*file].after(loss));
         }
-        left
+        survived
     }
 
-    /// Places a synced file.
+    /// Stores a synced file.
     pub fn put(&self, name: &str, bytes: Vec<u8>) {
         let mut state = self.state();
         let file = state.files.len();
@@ -155,7 +155,7 @@
                 content.push(bytes[0]);
                 Ok(1)
             }
-            Some(Fault::Lie) => {
+            Some(Fault::WrongBytes) => {
                 content.extend(vec![0; bytes.len()]);
                 Ok(bytes.len())
             }
