--- a/crates/quay_members/src/directory.rs
+++ b/crates/quay_members/src/directory.rs
@@ -253,7 +253,7 @@
     // -----------------------------------------------------------------------
     // Readers
 
-    /// What changed since a reader's version; takes its failure_reports too.
+    /// What changed since a reader's version; takes its failure reports too.
     pub fn changes(&mut self, now: Time, req: &ChangesRequest) -> Changes {
         self.take_failure_reports(now, req);
         let reset = req.run != self.run || req.announced < self.forgotten;
--- a/crates/quay_members/src/entry.rs
+++ b/crates/quay_members/src/entry.rs
@@ -9,7 +9,7 @@
 /// Why an upstream is not trusted although its lease has not ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Suspicion {
-    /// It missed_heartbeats more than one heartbeat.
+    /// It missed more than one heartbeat.
     Silent,
     /// Its heartbeats arrive but it does not hear their answers.
     OneWay,
@@ -30,7 +30,7 @@
     unheard_answers: u32,
     /// Readers that complained, and when; oldest first.
     failure_reports: Vec<(u64, Time)>,
-    /// End of the time for which failure_reports keep it marked.
+    /// End of the time for which failure reports keep it marked.
     failing_until: Time,
     /// State and load as readers are told.
     pub told: CompactLoad,
--- a/crates/quay_members/src/message.rs
+++ b/crates/quay_members/src/message.rs
@@ -39,7 +39,7 @@
 /// Asks for what changed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangesRequest {
-    /// Identity of the reader, for failure_reports.
+    /// Identity of the reader, for failure reports.
     pub reader: u64,
     /// Run of the host that the versions are of; 0 if none was read.
     pub run: u64,
--- a/crates/quay_members/src/settings.rs
+++ b/crates/quay_members/src/settings.rs
@@ -7,9 +7,9 @@
 pub struct MembersSettings {
     /// Interval of a sidecar's heartbeats.
     pub heartbeat: Duration,
-    /// Heartbeats that may be missed_heartbeats before a line is suspected; more than one.
+    /// Heartbeats that may be missed before a line is suspected; more than one.
     pub missed_heartbeats: u32,
-    /// Silence after which a line is dropped; longer than `heartbeat * missed_heartbeats`.
+    /// Silence after which a line is dropped; longer than `heartbeat * missed`.
     pub lease: Duration,
     /// Heartbeats in a row that show that answers do not arrive, before a line
     /// is suspected.
--- a/crates/quay_members/src/view.rs
+++ b/crates/quay_members/src/view.rs
@@ -40,7 +40,7 @@
 }
 
 impl DirectoryView {
-    /// The question for the next read. Takes the failure_reports along.
+    /// The question for the next read. Takes the failure reports along.
     pub fn next_request(&mut self, reader: u64) -> ChangesRequest {
         ChangesRequest {
             reader,
