--- a/crates/quay_turns/src/charge.rs
+++ b/crates/quay_turns/src/charge.rs
@@ -1,4 +1,4 @@
-//! What programs have used of their budgets.
+//! Token charges against the budgets of programs.
 
 use {
     indexmap::IndexMap,
@@ -6,35 +6,37 @@
     serde::{Deserialize, Serialize},
 };
 
-/// How final a charge is; a later standing replaces an earlier one.
+/// Whether a charge is final. A charge with a later status replaces one of the
+/// same attempt with an earlier status.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ChargeStatus {
-    /// The attempt may still use as much.
+    /// Upper bound while the attempt runs.
     Reserved,
-    /// The attempt has ended.
+    /// Final amount; the attempt has ended.
     Settled,
 }
 
-/// What one attempt may cost or has cost its program.
+/// Tokens that one attempt has reserved or used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Charge {
-    /// The attempt.
+    /// Attempt that is charged.
     pub attempt: AttemptTag,
-    /// How final it is.
+    /// Whether the charge is reserved or settled.
     pub standing: ChargeStatus,
     /// Tokens charged.
     pub tokens: Tokens,
 }
 
-/// Charges of one program, merged from any number of sources.
+/// Charges of one program, merged from any number of stores.
 ///
-/// Merging is commutative and idempotent: stores may learn charges in any
+/// Merging is commutative and idempotent: stores may receive charges in any
 /// order and any number of times.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ChargeSet(IndexMap<AttemptTag, (ChargeStatus, Tokens)>);
 
 impl ChargeSet {
-    /// Takes a charge; `false` if nothing changed.
+    /// Merges a charge. Returns `false` if the set already holds a later charge
+    /// of the attempt.
     pub fn merge(&mut self, charge: Charge) -> bool {
         let new = (charge.standing, charge.tokens);
         let held = self.0.entry(charge.attempt).or_insert(new);
@@ -46,14 +48,14 @@
         first
     }
 
-    /// Whether this very charge, or a later one of its attempt, is held.
+    /// Whether the set holds this charge or a later one of its attempt.
     #[must_use]
     pub fn covers(&self, charge: &Charge) -> bool {
         let held = self.0.get(&charge.attempt);
         held.is_some_and(|held| *held >= (charge.standing, charge.tokens))
     }
 
-    /// Every charge.
+    /// All charges, one per attempt.
     pub fn charges(&self) -> impl Iterator<Item = Charge> {
         self.0.iter().map(|(attempt, (standing, tokens))| Charge {
             attempt: *attempt,
@@ -62,7 +64,7 @@
         })
     }
 
-    /// Tokens charged to all attempts but one.
+    /// Tokens charged to all attempts except `attempt`.
     #[must_use]
     pub fn total_excluding(&self, attempt: AttemptTag) -> Tokens {
         let others = self.0.iter().filter(|(it, _)| **it != attempt);
--- a/crates/quay_turns/src/lib.rs
+++ b/crates/quay_turns/src/lib.rs
@@ -1,7 +1,9 @@
-//! Kept turns and token budgets on a small set of store hosts.
+//! Replicated storage of turns and token budgets on a small set of store hosts,
+//! using quorums without a leader.
 //!
-//! Every rule is plain state: answers of stores and the time go in, verdicts
-//! come out. The shells that send, sync and copy live in the daemon.
+//! The crate does no I/O and reads no clock: it takes the replies of stores and
+//! the current time, and returns decisions. Sending, syncing and copying are
+//! done by the daemon.
 //!
 //! ```
 //! use quay_turns::{StoreMember, StoreView, WriteTally, WriteVerdict};
--- a/crates/quay_turns/src/membership.rs
+++ b/crates/quay_turns/src/membership.rs
@@ -8,73 +8,79 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// What a store host says of itself.
+/// Announcement that a store host sends to the control leader periodically.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreAnnouncement {
     /// Name of the host.
     pub host: Box<str>,
-    /// Drawn when its data folder was new.
+    /// Random identity, generated when the host's data directory was created.
     pub identity: u64,
-    /// Address of its links.
+    /// Address that the store host listens on.
     pub addr: SocketAddr,
     /// Data centre of the host.
     pub data_centre: Box<str>,
-    /// Whether the whole system starts for the first time.
+    /// Whether the cluster is being bootstrapped.
     pub bootstrap: bool,
-    /// Epoch in which it joined and since when it is whole; 0 before.
+    /// Epoch of the join for which the store has finished copying; 0 if none. A
+    /// store is whole once it holds every write acknowledged before it joined.
     pub whole: u64,
 }
 
-/// A change of the view, as it is replicated.
+/// Change of the store view, as replicated in the control group's log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreChange {
-    /// The first members; they are whole because nothing was kept before.
+    /// Sets the first members. They are whole, since no data was stored before.
     Form(Vec<StoreAnnouncement>),
-    /// One member takes the place of another.
+    /// Replaces one member by another host.
     Swap {
-        /// Identity of the one that goes.
+        /// Identity of the member that leaves.
         out: u64,
-        /// The one that comes.
+        /// Announcement of the host that joins.
         new: Box<StoreAnnouncement>,
     },
-    /// A member holds all that its predecessor had promised.
+    /// Marks a member as whole: it holds every write that its predecessor
+    /// acknowledged.
     Whole {
-        /// The member.
+        /// Identity of the member.
         identity: u64,
-        /// Epoch in which it joined.
+        /// Epoch in which the member joined.
         joined: u64,
     },
-    /// A host is to be emptied.
+    /// Marks a host for removal; its data moves to another host.
     Retire(Box<str>),
-    /// A member, with its disk, is at another address.
+    /// Records a new address of a member whose data is intact.
     Moved {
-        /// The member.
+        /// Identity of the member.
         identity: u64,
-        /// Address of its links.
+        /// Address that the store host listens on.
         addr: SocketAddr,
     },
 }
 
 impl StoreView {
-    /// Carries out a change; `false` if it does not fit the view.
+    /// Applies a change. Returns `false` if the change does not apply to this
+    /// view.
     pub fn apply(&mut self, change: &StoreChange) -> bool {
-        let fits = match change {
-            StoreChange::Form(hellos) => self.form(hellos),
+        let applied = match change {
+            StoreChange::Form(announcements) => self.form(announcements),
             StoreChange::Swap { out, new } => self.swap(*out, new),
             StoreChange::Whole { identity, joined } => self.mark_whole(*identity, *joined),
             StoreChange::Retire(host) => self.retire(host),
-            StoreChange::Moved { identity, addr } => self.moved(*identity, *addr),
+            StoreChange::Moved { identity, addr } => self.update_address(*identity, *addr),
         };
-        self.version += u64::from(fits);
-        fits
+        self.version += u64::from(applied);
+        applied
     }
 
-    fn form(&mut self, hellos: &[StoreAnnouncement]) -> bool {
-        if self.epoch > 0 || hellos.is_empty() {
+    fn form(&mut self, announcements: &[StoreAnnouncement]) -> bool {
+        if self.epoch > 0 || announcements.is_empty() {
             return false;
         }
         self.epoch = 1;
-        self.members = hellos.iter().map(|hello| member(hello, 1)).collect();
+        self.members = announcements
+            .iter()
+            .map(|announcement| member(announcement, 1))
+            .collect();
         for member in &mut self.members {
             member.whole = true;
         }
@@ -112,7 +118,7 @@
         }
     }
 
-    fn moved(&mut self, identity: u64, addr: SocketAddr) -> bool {
+    fn update_address(&mut self, identity: u64, addr: SocketAddr) -> bool {
         let sources = self.members.iter_mut().flat_map(|it| &mut it.sources);
         for source in sources.filter(|source| source.identity == identity) {
             source.addr = addr;
@@ -130,30 +136,34 @@
     }
 }
 
-/// The member that a hello stands for.
-fn member(hello: &StoreAnnouncement, joined: u64) -> StoreMember {
+/// Creates a member from a host's announcement.
+fn member(announcement: &StoreAnnouncement, joined: u64) -> StoreMember {
     StoreMember {
-        host: hello.host.clone(),
-        identity: hello.identity,
-        addr: hello.addr,
-        data_centre: hello.data_centre.clone(),
+        host: announcement.host.clone(),
+        identity: announcement.identity,
+        addr: announcement.addr,
+        data_centre: announcement.data_centre.clone(),
         joined,
         ..StoreMember::default()
     }
 }
 
-/// When members are exchanged.
+/// Times that control when members are added and replaced.
 #[derive(Debug, Clone, Copy)]
 pub struct MembershipSettings {
-    /// Members that a view should have: two for each loss to be borne, and one.
+    /// Members that a view should have: `2 f + 1` to tolerate `f` failures.
     pub members: usize,
-    /// Time that first members have to be heard, from the first one.
+    /// Time to wait for more hosts, from the first announcement, before a view
+    /// with `members` hosts is formed.
     pub form_after: Duration,
-    /// Time after which fewer than `members` form a view.
+    /// Time from the first announcement after which a view is formed with fewer
+    /// than `members` hosts.
     pub form_partial_after: Duration,
-    /// Silence after which a host that came since takes a member's place.
+    /// Time without an announcement after which a member is replaced by a host
+    /// that first announced itself after the member's last announcement.
     pub replace_after: Duration,
-    /// Silence after which any spare host takes a member's place.
+    /// Time without an announcement after which a member is replaced by any
+    /// spare host.
     pub replace_with_spare_after: Duration,
 }
 
@@ -165,122 +175,126 @@
             form_after: Duration::from_millis(500),
             // Traffic starts 10 s after the hosts do.
             form_partial_after: Duration::from_secs(6),
-            // Several hellos, and less than the 4.8 s in which a successor must be whole.
+            // Several announcement intervals, and less than the 4.8 s within
+            // which a replacement must be whole.
             replace_after: Duration::from_millis(1_500),
-            // Longer than an ordinary freeze: a swap copies everything.
+            // Longer than an ordinary pause of a process, since a replacement
+            // copies all data.
             replace_with_spare_after: Duration::from_secs(8),
         }
     }
 }
 
 #[derive(Debug)]
-struct Heard {
-    hello: StoreAnnouncement,
-    first: Time,
-    last: Time,
+struct KnownHost {
+    announcement: StoreAnnouncement,
+    first_announced: Time,
+    last_announced: Time,
 }
 
-/// What the leader of the control group has heard of store hosts, and what it
-/// makes of it. Soft: a new leader hears it again.
+/// Tracks announcements of store hosts on the leader of the control group and
+/// plans membership changes. The state is not replicated: a new leader rebuilds
+/// it from announcements.
 #[derive(Debug, Default)]
 pub struct MembershipPlanner {
     cfg: MembershipSettings,
-    heard: IndexMap<Box<str>, Heard>,
-    /// Since when this leader has listened.
-    since: Time,
+    known: IndexMap<Box<str>, KnownHost>,
+    /// Time at which this leader began to receive announcements.
+    listening_since: Time,
 }
 
 impl MembershipPlanner {
-    /// A roster that has heard nobody.
+    /// Creates a planner without any announcements.
     #[must_use]
     pub fn new(cfg: MembershipSettings, now: Time) -> Self {
         Self {
             cfg,
-            since: now,
+            listening_since: now,
             ..Self::default()
         }
     }
 
-    /// Takes what a host says of itself.
-    pub fn record_announcement(&mut self, now: Time, hello: StoreAnnouncement) {
-        match self.heard.get_mut(&hello.host) {
-            Some(heard) if heard.hello.identity == hello.identity => {
-                heard.hello = hello;
-                heard.last = now;
+    /// Records the announcement of a store host.
+    pub fn record_announcement(&mut self, now: Time, announcement: StoreAnnouncement) {
+        match self.known.get_mut(&announcement.host) {
+            Some(known) if known.announcement.identity == announcement.identity => {
+                known.announcement = announcement;
+                known.last_announced = now;
             }
             _ => {
-                let heard = Heard {
-                    hello,
-                    first: now,
-                    last: now,
+                let known = KnownHost {
+                    announcement,
+                    first_announced: now,
+                    last_announced: now,
                 };
-                self.heard.insert(heard.hello.host.clone(), heard);
+                self.known.insert(known.announcement.host.clone(), known);
             }
         }
     }
 
-    /// Whether a host is known.
+    /// Whether `host` has announced itself to this leader.
     #[must_use]
     pub fn knows(&self, host: &str) -> bool {
-        self.heard.contains_key(host)
+        self.known.contains_key(host)
     }
 
-    /// Whether enough hosts would be left without `host`.
+    /// Whether `host` can be retired: it is no member, or a live spare host can
+    /// replace it.
     #[must_use]
     pub fn can_retire(&self, now: Time, view: &StoreView, host: &str) -> bool {
-        view.member_on_host(host).is_none() || self.spare(now, view, Some(host)).is_some()
+        view.member_on_host(host).is_none() || self.find_spare(now, view, Some(host)).is_some()
     }
 
-    /// The next change of the view, if one is due.
+    /// Returns the next change of the view, if one is due.
     #[must_use]
     pub fn next_change(&self, now: Time, view: &StoreView) -> Option<StoreChange> {
         if view.epoch == 0 {
             return self.form(now);
         }
-        self.readdressed(view)
-            .or_else(|| self.became_whole(view))
-            .or_else(|| self.lost_disk(view))
-            .or_else(|| self.moved(now, view))
+        self.find_address_change(view)
+            .or_else(|| self.find_completed_member(view))
+            .or_else(|| self.find_data_loss(view))
+            .or_else(|| self.find_replacement(now, view))
     }
 
     fn form(&self, now: Time) -> Option<StoreChange> {
-        let first = self.heard.values().map(|it| it.first).min()?;
+        let first = self.known.values().map(|it| it.first_announced).min()?;
         let waited = now.since(first);
-        let mut hellos: Vec<&StoreAnnouncement> = self
-            .heard
+        let mut announcements: Vec<&StoreAnnouncement> = self
+            .known
             .values()
-            .map(|it| &it.hello)
-            .filter(|hello| hello.bootstrap)
+            .map(|it| &it.announcement)
+            .filter(|announcement| announcement.bootstrap)
             .collect();
-        let enough = hellos.len() >= self.cfg.members && waited >= self.cfg.form_after;
-        let anyway = !hellos.is_empty() && waited >= self.cfg.form_partial_after;
-        if !enough && !anyway {
+        let enough = announcements.len() >= self.cfg.members && waited >= self.cfg.form_after;
+        let partial = !announcements.is_empty() && waited >= self.cfg.form_partial_after;
+        if !enough && !partial {
             return None;
         }
-        hellos.sort_by(|a, b| a.host.cmp(&b.host));
-        let members = spread(&hellos, self.cfg.members);
+        announcements.sort_by(|a, b| a.host.cmp(&b.host));
+        let members = select_across_data_centres(&announcements, self.cfg.members);
         Some(StoreChange::Form(members))
     }
 
-    /// A member that has come back, with its disk, at another address.
-    fn readdressed(&self, view: &StoreView) -> Option<StoreChange> {
+    /// Finds a member that announces its known identity from a new address.
+    fn find_address_change(&self, view: &StoreView) -> Option<StoreChange> {
         view.members.iter().find_map(|member| {
-            let hello = &self.heard.get(&member.host)?.hello;
-            let same = hello.identity == member.identity;
-            (same && hello.addr != member.addr).then_some(StoreChange::Moved {
+            let announcement = &self.known.get(&member.host)?.announcement;
+            let same = announcement.identity == member.identity;
+            (same && announcement.addr != member.addr).then_some(StoreChange::Moved {
                 identity: member.identity,
-                addr: hello.addr,
+                addr: announcement.addr,
             })
         })
     }
 
-    /// A member that has copied all it needs.
-    fn became_whole(&self, view: &StoreView) -> Option<StoreChange> {
+    /// Finds a joining member that has finished copying.
+    fn find_completed_member(&self, view: &StoreView) -> Option<StoreChange> {
         let mut joining = view.members.iter().filter(|it| !it.whole);
         let done = joining.find(|it| {
-            let heard = self.heard.get(&it.host);
-            heard.is_some_and(|heard| {
-                heard.hello.identity == it.identity && heard.hello.whole == it.joined
+            let known = self.known.get(&it.host);
+            known.is_some_and(|known| {
+                known.announcement.identity == it.identity && known.announcement.whole == it.joined
             })
         })?;
         Some(StoreChange::Whole {
@@ -289,71 +303,87 @@
         })
     }
 
-    /// A member whose host has come back with an empty disk.
-    fn lost_disk(&self, view: &StoreView) -> Option<StoreChange> {
+    /// Finds a member whose host announces a new identity, since its data was
+    /// lost.
+    fn find_data_loss(&self, view: &StoreView) -> Option<StoreChange> {
         view.members.iter().find_map(|member| {
-            let heard = self.heard.get(&member.host)?;
-            let new = heard.hello.identity != member.identity;
+            let known = self.known.get(&member.host)?;
+            let new = known.announcement.identity != member.identity;
             new.then(|| StoreChange::Swap {
                 out: member.identity,
-                new: Box::new(heard.hello.clone()),
+                new: Box::new(known.announcement.clone()),
             })
         })
     }
 
-    /// A member that is silent or to be emptied, and a host to take its place.
-    fn moved(&self, now: Time, view: &StoreView) -> Option<StoreChange> {
-        // One at a time: the others hold what the newcomer copies.
+    /// Finds a member that is silent or retiring, and a spare host to replace
+    /// it.
+    fn find_replacement(&self, now: Time, view: &StoreView) -> Option<StoreChange> {
+        // Members are replaced one at a time, since a joining member copies
+        // from the other members.
         if !view.all_whole() {
             return None;
         }
         let out = view.members.iter().find_map(|member| {
             let retiring = view.retiring.contains(&member.host);
-            let heard = self.heard.get(&member.host);
-            let last = heard.map_or(self.since, |it| it.last);
+            let known = self.known.get(&member.host);
+            let last = known.map_or(self.listening_since, |it| it.last_announced);
             let silence = now.since(last);
-            let spare = self.spare(now, view, None)?;
-            let came_since = spare.first > last && silence >= self.cfg.replace_after;
-            let due = retiring || came_since || silence >= self.cfg.replace_with_spare_after;
+            let spare = self.find_spare(now, view, None)?;
+            let replaced_by_newer_host =
+                spare.first_announced > last && silence >= self.cfg.replace_after;
+            let due =
+                retiring || replaced_by_newer_host || silence >= self.cfg.replace_with_spare_after;
             due.then_some((member.identity, spare))
         });
         let (out, spare) = out?;
         Some(StoreChange::Swap {
             out,
-            new: Box::new(spare.hello.clone()),
+            new: Box::new(spare.announcement.clone()),
         })
     }
 
-    /// The host that has come last of those that are alive and no members.
-    fn spare(&self, now: Time, view: &StoreView, without: Option<&str>) -> Option<&Heard> {
-        let spares = self.heard.values().filter(|it| {
-            let host = &*it.hello.host;
+    /// Returns the live spare host that announced itself most recently for the
+    /// first time, other than `without`.
+    fn find_spare(&self, now: Time, view: &StoreView, without: Option<&str>) -> Option<&KnownHost> {
+        let spares = self.known.values().filter(|it| {
+            let host = &*it.announcement.host;
             view.member_on_host(host).is_none()
-                && view.member(it.hello.identity).is_none()
+                && view.member(it.announcement.identity).is_none()
                 && !view.retiring.iter().any(|retiring| &**retiring == host)
                 && Some(host) != without
-                && now.since(it.last) < self.cfg.replace_after
+                && now.since(it.last_announced) < self.cfg.replace_after
         });
-        spares.max_by_key(|it| it.first)
+        spares.max_by_key(|it| it.first_announced)
     }
 }
 
-/// Takes `count` hosts, one of each data centre by turns.
-fn spread(hellos: &[&StoreAnnouncement], count: usize) -> Vec<StoreAnnouncement> {
-    let mut centres: IndexMap<&str, Vec<&StoreAnnouncement>> = IndexMap::new();
-    for hello in hellos {
-        centres.entry(&hello.data_centre).or_default().push(hello);
+/// Selects `count` hosts, alternating between data centres.
+fn select_across_data_centres(
+    announcements: &[&StoreAnnouncement],
+    count: usize,
+) -> Vec<StoreAnnouncement> {
+    let mut data_centres: IndexMap<&str, Vec<&StoreAnnouncement>> = IndexMap::new();
+    for announcement in announcements {
+        data_centres
+            .entry(&announcement.data_centre)
+            .or_default()
+            .push(announcement);
     }
-    let mut taken = Vec::new();
-    let rounds = centres.values().map(Vec::len).max().unwrap_or_default();
+    let mut selected = Vec::new();
+    let rounds = data_centres
+        .values()
+        .map(Vec::len)
+        .max()
+        .unwrap_or_default();
     for round in 0..rounds {
-        for hosts in centres.values() {
-            if let Some(hello) = hosts.get(round)
-                && taken.len() < count
+        for hosts in data_centres.values() {
+            if let Some(announcement) = hosts.get(round)
+                && selected.len() < count
             {
-                taken.push((*hello).clone());
+                selected.push((*announcement).clone());
             }
         }
     }
-    taken
+    selected
 }
--- a/crates/quay_turns/src/store_index.rs
+++ b/crates/quay_turns/src/store_index.rs
@@ -1,4 +1,4 @@
-//! What one store holds, without the bytes.
+//! In-memory index of the records on one store; the record bytes are on disk.
 
 use {
     crate::{Charge, ChargeSet, Record},
@@ -7,90 +7,91 @@
     std::time::Duration,
 };
 
-/// Where the bytes of a record are.
+/// Location of a record on disk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RecordLocation {
-    /// File.
+    /// Number of the segment file.
     pub segment: u64,
-    /// First byte.
+    /// Byte offset in the segment file.
     pub offset: u64,
-    /// Bytes.
+    /// Length in bytes.
     pub len: u32,
 }
 
-/// How long a store keeps what it holds.
+/// Retention times of a store.
 #[derive(Debug, Clone, Copy)]
 pub struct StoreIndexSettings {
-    /// Time for which charges are kept after the latest of their program.
+    /// Time for which a program's charges are kept after its latest charge.
     pub charge_retention: Duration,
-    /// Time added to what a turn asks for, since hosts learn of it at
-    /// different times.
+    /// Time added to a turn's requested retention, since hosts receive the turn
+    /// at different times.
     pub retention_margin: Duration,
 }
 
 impl Default for StoreIndexSettings {
     fn default() -> Self {
         Self {
-            // Longer than any retention in the deployments' tables (60 s).
+            // Longer than any retention in the routing tables of the
+            // deployments (60 s).
             charge_retention: Duration::from_mins(2),
             retention_margin: Duration::from_secs(15),
         }
     }
 }
 
-/// A request was made under a view that is no longer in force.
+/// A request carried the epoch of an outdated view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StaleView {
-    /// Epoch that the store has seen.
+    /// Latest epoch that the store has seen.
     pub seen: u64,
 }
 
-/// Turns of a chain, newest first.
+/// A turn and its predecessors, newest first.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct TurnChain {
-    /// Places of the turns that are held.
+    /// Locations of the turns that the store holds.
     pub locations: Vec<(TurnId, RecordLocation)>,
-    /// The turn at which the chain breaks off, if it does.
+    /// First turn of the chain that the store does not hold, if any.
     pub missing: Option<TurnId>,
 }
 
 #[derive(Debug)]
 struct HeldTurn {
-    /// Rises with each turn that is taken.
+    /// Insertion number of the turn; increases with every insertion.
     number: u64,
     prior: Option<TurnId>,
-    place: RecordLocation,
+    location: RecordLocation,
     expires: Time,
 }
 
 #[derive(Debug, Default)]
 struct HeldCharges {
-    /// Rises with each program that is taken.
+    /// Insertion number of the program; increases with every insertion.
     number: u64,
     book: ChargeSet,
     expires: Time,
 }
 
-/// What one store holds, without the bytes.
+/// In-memory index of the records on one store; the record bytes are on disk.
 #[derive(Debug, Default)]
 pub struct StoreIndex {
     cfg: StoreIndexSettings,
     turns: IndexMap<TurnId, HeldTurn>,
     programs: IndexMap<ProgramTag, HeldCharges>,
-    /// Turns and programs that were ever taken.
-    taken: u64,
-    /// Latest epoch seen; only rises.
+    /// Last insertion number handed out.
+    last_number: u64,
+    /// Latest epoch seen; never decreases.
     epoch: u64,
-    /// Epoch in which the store joined and since when it takes writes; 0 before.
+    /// Epoch of the join for which the store accepts writes; 0 before.
     open: u64,
-    /// Epoch in which it joined and since when it is whole; 0 before.
+    /// Epoch of the join for which the store has finished copying; 0 before.
     whole: u64,
-    /// Latest expiry of what a segment holds.
+    /// Latest expiry time of the records in each segment.
     segments: IndexMap<u64, Time>,
 }
 
 impl StoreIndex {
-    /// An empty shelf.
+    /// Creates an empty index.
     #[must_use]
     pub fn new(cfg: StoreIndexSettings) -> Self {
         Self {
@@ -99,26 +100,26 @@
         }
     }
 
-    /// Takes that a record is synced at a place.
-    pub fn insert(&mut self, now: Time, record: &Record, place: RecordLocation) {
+    /// Adds a record that has been synced to disk at `location`.
+    pub fn insert(&mut self, now: Time, record: &Record, location: RecordLocation) {
         let expires = match record {
             Record::Turn(turn) => {
                 let keep = Duration::from_secs(turn.retention_s.into()) + self.cfg.retention_margin;
                 let expires = now + keep;
-                self.taken += 1;
+                self.last_number += 1;
                 let held = HeldTurn {
-                    number: self.taken,
+                    number: self.last_number,
                     prior: turn.prior,
-                    place,
+                    location,
                     expires,
                 };
                 self.turns.insert(turn.id, held);
-                self.keep_chain(turn.prior, expires);
+                self.extend_chain_expiry(turn.prior, expires);
                 expires
             }
             Record::Charge(program, charge) => {
-                self.taken += 1;
-                let number = self.taken;
+                self.last_number += 1;
+                let number = self.last_number;
                 let held = self
                     .programs
                     .entry(*program)
@@ -144,12 +145,13 @@
                 now
             }
         };
-        let latest = self.segments.entry(place.segment).or_insert(expires);
+        let latest = self.segments.entry(location.segment).or_insert(expires);
         *latest = (*latest).max(expires);
     }
 
-    /// Keeps a turn and all before it as long as one that continues from it.
-    fn keep_chain(&mut self, last: Option<TurnId>, expires: Time) {
+    /// Extends the expiry of a turn and its predecessors to that of a turn that
+    /// continues from them.
+    fn extend_chain_expiry(&mut self, last: Option<TurnId>, expires: Time) {
         let mut next = last;
         while let Some(held) = next.and_then(|id| self.turns.get_mut(&id)) {
             if held.expires >= expires {
@@ -157,17 +159,17 @@
             }
             held.expires = expires;
             next = held.prior;
-            if let Some(latest) = self.segments.get_mut(&held.place.segment) {
+            if let Some(latest) = self.segments.get_mut(&held.location.segment) {
                 *latest = (*latest).max(expires);
             }
         }
     }
 
-    /// Checks that a request comes under a view that is in force.
+    /// Checks that a request does not carry an outdated epoch.
     ///
     /// # Errors
     ///
-    /// Tells the later epoch that was seen.
+    /// Returns [`StaleView`] with the latest epoch seen if `epoch` is older.
     pub const fn admit(&self, epoch: u64) -> Result<(), StaleView> {
         if epoch < self.epoch {
             Err(StaleView { seen: self.epoch })
@@ -176,25 +178,26 @@
         }
     }
 
-    /// Latest epoch seen.
+    /// Latest epoch that the store has seen.
     #[must_use]
     pub const fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Epoch in which the store joined and since when it takes writes; 0 before.
+    /// Epoch of the join for which the store accepts writes; 0 before.
     #[must_use]
     pub const fn open_epoch(&self) -> u64 {
         self.open
     }
 
-    /// Epoch in which the store joined and since when it is whole; 0 before.
+    /// Epoch of the join for which the store has finished copying; 0 before.
     #[must_use]
     pub const fn whole_epoch(&self) -> u64 {
         self.whole
     }
 
-    /// Whether a record is held already.
+    /// Whether the store already holds a record, or a later one that supersedes
+    /// it.
     #[must_use]
     pub fn holds(&self, record: &Record) -> bool {
         match record {
@@ -209,14 +212,15 @@
         }
     }
 
-    /// Every charge of a program.
+    /// All charges of a program.
     #[must_use]
     pub fn charges(&self, program: ProgramTag) -> Vec<Charge> {
         let held = self.programs.get(&program);
         held.map_or_else(Vec::new, |held| held.book.charges().collect())
     }
 
-    /// A turn and all before it, as far as they are held.
+    /// Returns a turn and its predecessors, up to the first one that is
+    /// missing.
     #[must_use]
     pub fn chain(&self, last: TurnId) -> TurnChain {
         let mut chain = TurnChain::default();
@@ -224,10 +228,11 @@
         while let Some(id) = next {
             match self.turns.get(&id) {
                 Some(held) if chain.locations.len() < self.turns.len() => {
-                    chain.locations.push((id, held.place));
+                    chain.locations.push((id, held.location));
                     next = held.prior;
                 }
-                // A chain longer than all turns runs in a circle.
+                // A chain with more turns than the store holds contains a
+                // cycle.
                 Some(_) | None => {
                     chain.missing = Some(id);
                     return chain;
@@ -237,7 +242,8 @@
         chain
     }
 
-    /// Turns with numbers above `after`, lowest first, with their numbers.
+    /// Turns with insertion numbers above `after` in ascending order, with
+    /// their numbers.
     #[must_use]
     pub fn turns_after(&self, after: u64, limit: usize) -> Vec<(u64, TurnId)> {
         let turns = self.turns.iter().filter(|(_, held)| held.number > after);
@@ -247,14 +253,14 @@
             .collect()
     }
 
-    /// Where a turn is, if it is held.
+    /// Location of a turn, if the store holds it.
     #[must_use]
     pub fn location(&self, turn: TurnId) -> Option<RecordLocation> {
-        self.turns.get(&turn).map(|held| held.place)
+        self.turns.get(&turn).map(|held| held.location)
     }
 
-    /// Charges of the programs with numbers above `after`, lowest first, with
-    /// the number of the last program.
+    /// Charges of the programs with insertion numbers above `after` in
+    /// ascending order, and the number of the last program returned.
     #[must_use]
     pub fn charges_after(&self, after: u64, limit: usize) -> (u64, Vec<(ProgramTag, Charge)>) {
         let mut last = after;
@@ -267,14 +273,14 @@
         (last, charges)
     }
 
-    /// Turns that are held.
+    /// Number of turns that the store holds.
     #[must_use]
     pub fn turn_count(&self) -> usize {
         self.turns.len()
     }
 
-    /// Drops what has expired; tells the segments before `open_segment` that
-    /// hold nothing more.
+    /// Removes expired entries. Returns the segments before `open_segment` in
+    /// which all records have expired, so that their files can be deleted.
     pub fn expire(&mut self, now: Time, open_segment: u64) -> Vec<u64> {
         self.turns.retain(|_, held| held.expires > now);
         self.programs.retain(|_, held| held.expires > now);
--- a/crates/quay_turns/src/tally.rs
+++ b/crates/quay_turns/src/tally.rs
@@ -1,4 +1,4 @@
-//! What a front makes of the answers of stores.
+//! Quorum decisions of a gateway front over the replies of stores.
 
 use {
     crate::{Charge, ChargeSet, StoreView},
@@ -6,14 +6,14 @@
     quay_types::{AttemptTag, Tokens},
 };
 
-/// How a write stands.
+/// State of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteVerdict {
-    /// More answers are needed.
+    /// More replies are needed.
     Pending,
-    /// A write quorum has synced it.
+    /// A write quorum has synced the write.
     Durable,
-    /// Too few members are left that could sync it.
+    /// A write quorum can no longer be reached.
     Failed,
 }
 
@@ -21,39 +21,39 @@
 #[derive(Debug)]
 pub struct WriteTally {
     members: usize,
-    needed: usize,
+    write_quorum: usize,
     synced: IndexSet<u64>,
     failed: IndexSet<u64>,
 }
 
 impl WriteTally {
-    /// A write to the members of a view.
+    /// Starts counting a write to the members of a view.
     #[must_use]
     pub fn new(view: &StoreView) -> Self {
         Self {
             members: view.members.len(),
-            needed: view.write_quorum(),
+            write_quorum: view.write_quorum(),
             synced: IndexSet::new(),
             failed: IndexSet::new(),
         }
     }
 
-    /// A member has synced the write.
+    /// Records that a member has synced the write.
     pub fn synced(&mut self, identity: u64) {
         self.synced.insert(identity);
     }
 
-    /// A member did not answer, or refused.
+    /// Records that a member did not reply or refused the request.
     pub fn failed(&mut self, identity: u64) {
         self.failed.insert(identity);
     }
 
-    /// How the write stands.
+    /// State of the write.
     #[must_use]
     pub fn verdict(&self) -> WriteVerdict {
-        if self.members > 0 && self.synced.len() >= self.needed {
+        if self.members > 0 && self.synced.len() >= self.write_quorum {
             WriteVerdict::Durable
-        } else if self.members - self.failed.len() < self.needed || self.members == 0 {
+        } else if self.members - self.failed.len() < self.write_quorum || self.members == 0 {
             WriteVerdict::Failed
         } else {
             WriteVerdict::Pending
@@ -61,39 +61,39 @@
     }
 }
 
-/// How a reservation stands.
+/// State of a reservation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChargeVerdict {
-    /// More answers are needed.
+    /// More replies are needed.
     Pending,
     /// The reservation is durable and the budget covers it.
     Covered,
-    /// The budget does not cover it.
+    /// The budget does not cover the reservation.
     Spent {
         /// Tokens charged to other attempts.
         others: Tokens,
     },
-    /// Too few members have answered to be sure.
+    /// Too few members have replied to decide.
     Undetermined,
 }
 
-/// Counts the answers to a reservation.
+/// Counts the replies to a budget reservation.
 ///
-/// Of two reservations that are made at the same time at least one sees the
-/// other, since the quorums in which they were written meet.
+/// Of two concurrent reservations at least one sees the other, since their
+/// write quorums intersect.
 #[derive(Debug)]
 pub struct ChargeTally {
     write: WriteTally,
-    whole: IndexSet<u64>,
+    whole_replies: IndexSet<u64>,
     whole_members: IndexSet<u64>,
-    needed_whole: usize,
+    read_quorum: usize,
     book: ChargeSet,
     own: Charge,
     budget: Tokens,
 }
 
 impl ChargeTally {
-    /// A reservation `own` against a budget.
+    /// Starts counting the reservation `own` against a budget.
     #[must_use]
     pub fn new(view: &StoreView, own: Charge, budget: Tokens) -> Self {
         let whole = view.members.iter().filter(|it| it.whole);
@@ -101,98 +101,102 @@
         book.merge(own);
         Self {
             write: WriteTally::new(view),
-            whole: IndexSet::new(),
+            whole_replies: IndexSet::new(),
             whole_members: whole.map(|it| it.identity).collect(),
-            needed_whole: view.read_quorum(),
+            read_quorum: view.read_quorum(),
             book,
             own,
             budget,
         }
     }
 
-    /// A member has synced the reservation and tells all charges it holds.
+    /// Records that a member has synced the reservation, with all charges of
+    /// the program that the member holds.
     pub fn synced(&mut self, identity: u64, charges: impl IntoIterator<Item = Charge>) {
         for charge in charges {
             self.book.merge(charge);
         }
         self.write.synced(identity);
         if self.whole_members.contains(&identity) {
-            self.whole.insert(identity);
+            self.whole_replies.insert(identity);
         }
     }
 
-    /// A member did not answer, or refused.
+    /// Records that a member did not reply or refused the request.
     pub fn failed(&mut self, identity: u64) {
         self.write.failed(identity);
         self.whole_members.shift_remove(&identity);
     }
 
-    /// The attempt that reserves.
+    /// Attempt that makes the reservation.
     #[must_use]
     pub const fn attempt(&self) -> AttemptTag {
         self.own.attempt
     }
 
-    /// How the reservation stands.
+    /// State of the reservation.
     #[must_use]
     pub fn verdict(&self) -> ChargeVerdict {
         let others = self.book.total_excluding(self.own.attempt);
-        // Charges only add up: what some members know is a lower bound.
-        if others.0 + self.own.tokens.0 > self.budget.0 && self.seen() {
+        // Charges of further members can only raise the total, so the charges
+        // seen so far are a lower bound.
+        if others.0 + self.own.tokens.0 > self.budget.0 && self.prior_charges_seen() {
             return ChargeVerdict::Spent { others };
         }
         if self.write.verdict() == WriteVerdict::Failed
-            || self.whole_members.len() < self.needed_whole
+            || self.whole_members.len() < self.read_quorum
         {
             return ChargeVerdict::Undetermined;
         }
-        if self.write.verdict() == WriteVerdict::Durable && self.seen() {
+        if self.write.verdict() == WriteVerdict::Durable && self.prior_charges_seen() {
             ChargeVerdict::Covered
         } else {
             ChargeVerdict::Pending
         }
     }
 
-    /// Whether every charge that was made before has been seen.
-    fn seen(&self) -> bool {
-        self.whole.len() >= self.needed_whole
+    /// Whether enough whole members have replied that every charge acknowledged
+    /// earlier has been seen.
+    fn prior_charges_seen(&self) -> bool {
+        self.whole_replies.len() >= self.read_quorum
     }
 }
 
-/// What is known of a turn.
+/// State of the lookup of a turn.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LookupVerdict {
-    /// More answers are needed.
+    /// More replies are needed.
     Pending,
-    /// No member has it, and none may.
+    /// A read quorum of whole members does not hold the turn, so the turn was
+    /// not acknowledged or has expired.
     Absent,
-    /// Too few members have answered to be sure.
+    /// Too few members have replied to decide.
     Undetermined,
 }
 
-/// Counts the members that do not hold a turn.
+/// Counts the members that report that they do not hold a turn.
 #[derive(Debug)]
 pub struct LookupTally {
-    needed: usize,
+    read_quorum: usize,
     candidates: IndexSet<u64>,
     not_found: IndexSet<u64>,
     waiting: IndexSet<u64>,
 }
 
 impl LookupTally {
-    /// A question to every member of a view.
+    /// Starts counting a lookup at every member of a view.
     #[must_use]
     pub fn new(view: &StoreView) -> Self {
         let whole = view.members.iter().filter(|it| it.whole);
         Self {
-            needed: view.read_quorum(),
+            read_quorum: view.read_quorum(),
             candidates: whole.map(|it| it.identity).collect(),
             not_found: IndexSet::new(),
             waiting: view.members.iter().map(|it| it.identity).collect(),
         }
     }
 
-    /// A member does not hold it.
+    /// Records that a member does not hold the turn.
     pub fn not_found(&mut self, identity: u64) {
         self.waiting.shift_remove(&identity);
         if self.candidates.contains(&identity) {
@@ -200,17 +204,17 @@
         }
     }
 
-    /// A member did not answer, or refused.
+    /// Records that a member did not reply or refused the request.
     pub fn failed(&mut self, identity: u64) {
         self.waiting.shift_remove(&identity);
     }
 
-    /// What is known.
+    /// State of the lookup.
     #[must_use]
     pub fn verdict(&self) -> LookupVerdict {
         if !self.waiting.is_empty() {
             LookupVerdict::Pending
-        } else if self.needed > 0 && self.not_found.len() >= self.needed {
+        } else if self.read_quorum > 0 && self.not_found.len() >= self.read_quorum {
             LookupVerdict::Absent
         } else {
             LookupVerdict::Undetermined
--- a/crates/quay_turns/src/turn.rs
+++ b/crates/quay_turns/src/turn.rs
@@ -1,4 +1,4 @@
-//! What store hosts keep.
+//! Records that store hosts keep.
 
 use {
     crate::Charge,
@@ -6,19 +6,19 @@
     serde::{Deserialize, Serialize},
 };
 
-/// A turn that was answered whole.
+/// A turn whose answer was complete.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TurnRecord {
-    /// The turn.
+    /// Identity of the turn.
     pub id: TurnId,
-    /// The turn that it continues from.
+    /// Turn that this turn continues from.
     pub prior: Option<TurnId>,
-    /// Seconds for which it is kept.
+    /// Retention time in seconds.
     pub retention_s: u32,
     /// New input of the turn.
     #[serde(with = "quay_types::bytes")]
     pub input: Box<[u8]>,
-    /// What the turn adds to the prompts of those that continue from it.
+    /// Text that the turn's answer adds to the prompts of later turns.
     #[serde(with = "quay_types::bytes")]
     pub output: Box<[u8]>,
 }
@@ -28,12 +28,12 @@
 pub enum Record {
     /// A turn.
     Turn(TurnRecord),
-    /// What an attempt may cost or has cost its program.
+    /// A charge of an attempt against its program's budget.
     Charge(ProgramTag, Charge),
-    /// The store has seen this epoch and refuses earlier ones.
+    /// The store has seen this epoch and refuses requests of earlier ones.
     Epoch(u64),
-    /// The store takes writes since it joined in this epoch.
+    /// The store, which joined in this epoch, accepts writes.
     Open(u64),
-    /// The store has copied all that it needs since it joined in this epoch.
+    /// The store, which joined in this epoch, has finished copying.
     Whole(u64),
 }
--- a/crates/quay_turns/src/view.rs
+++ b/crates/quay_turns/src/view.rs
@@ -1,41 +1,41 @@
-//! Which store hosts hold turns and charges.
+//! The replicated set of store hosts that hold turns and charges.
 
 use {
     serde::{Deserialize, Serialize},
     std::net::{Ipv4Addr, SocketAddr},
 };
 
-/// A member that another one copies from.
+/// A member that a joining member copies from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CopySource {
-    /// Its identity.
+    /// Identity of the source.
     pub identity: u64,
-    /// Address of its links.
+    /// Address that the store host listens on.
     pub addr: SocketAddr,
-    /// Whether it was whole when the other one joined.
+    /// Whether the source was whole when the joining member joined.
     pub whole: bool,
 }
 
-/// One member of a view.
+/// One member of a store view.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreMember {
-    /// Name of its host.
+    /// Name of the host.
     pub host: Box<str>,
-    /// Drawn when its data folder was new; a host that lost its disk comes
-    /// back under another one.
+    /// Random identity, generated when the host's data directory was created. A
+    /// host that lost its data returns with a new identity.
     pub identity: u64,
-    /// Address of its links.
+    /// Address that the store host listens on.
     pub addr: SocketAddr,
-    /// Data centre of its host.
+    /// Data centre of the host.
     pub data_centre: Box<str>,
-    /// Whether it holds all that its predecessor had promised.
+    /// Whether the member holds every write that its predecessor acknowledged.
     pub whole: bool,
-    /// Epoch in which it became a member.
+    /// Epoch in which the host became a member.
     pub joined: u64,
-    /// Members of the view before it joined; it copies from them while it is
-    /// not whole.
+    /// Members of the view before this member joined. It copies from them until
+    /// it is whole.
     pub sources: Vec<CopySource>,
-    /// Whole sources that it must have copied from to be whole.
+    /// Number of whole sources that the member must copy from to become whole.
     pub needed: usize,
 }
 
@@ -54,42 +54,43 @@
     }
 }
 
-/// The members that hold turns and charges.
+/// The store hosts that hold turns and charges.
 ///
 /// Consecutive epochs differ in one member. A store that has seen an epoch
-/// refuses requests of earlier ones.
+/// refuses requests of earlier epochs.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreView {
-    /// Rises with each change of the members; 0 before there are any.
+    /// Incremented when a member joins or is replaced; 0 before the first
+    /// members are set.
     pub epoch: u64,
-    /// Rises with each change of any kind.
+    /// Incremented with every change of the view.
     pub version: u64,
-    /// Members; no identity twice.
+    /// Members, with distinct identities.
     pub members: Vec<StoreMember>,
-    /// Hosts that are to be emptied.
+    /// Hosts that are marked for removal.
     pub retiring: Vec<Box<str>>,
 }
 
 impl StoreView {
-    /// Members whose sync makes a write durable.
+    /// Number of members that must sync a write to make it durable: a majority.
     #[must_use]
     pub const fn write_quorum(&self) -> usize {
         self.members.len() / 2 + 1
     }
 
-    /// Whole members that meet every write quorum.
+    /// Number of whole members that intersect every write quorum.
     #[must_use]
     pub const fn read_quorum(&self) -> usize {
         self.members.len() - self.write_quorum() + 1
     }
 
-    /// The member with an identity.
+    /// Finds a member by its identity.
     #[must_use]
     pub fn member(&self, identity: u64) -> Option<&StoreMember> {
         self.members.iter().find(|it| it.identity == identity)
     }
 
-    /// The sources of a joining member, at the addresses of this view.
+    /// Sources of a joining member, with the addresses of this view.
     #[must_use]
     pub fn sources_of<'a>(&'a self, joining: &'a StoreMember) -> &'a [CopySource] {
         let known = self.member(joining.identity);
@@ -97,7 +98,8 @@
         &known.unwrap_or(joining).sources
     }
 
-    /// Whether a source of a joining member is whole: it was, or has become so.
+    /// Whether a source of a joining member is whole, either since the member
+    /// joined or since a later change.
     #[must_use]
     pub fn source_is_whole(&self, source: &CopySource) -> bool {
         match self.member(source.identity) {
@@ -106,11 +108,13 @@
         }
     }
 
-    /// Whether a joining member is whole once it has copied from these sources.
+    /// Whether a joining member is whole after it has copied from the sources
+    /// in `copied`.
     ///
-    /// What was acknowledged before it joined is on a write quorum of the
-    /// members of that time, which meets every `needed` whole ones. Where so
-    /// many are not left, more than what all members hold can't be had.
+    /// Every write acknowledged before the member joined is on a write quorum
+    /// of the former members, which intersects any `needed` whole ones. If
+    /// fewer of these remain, a copy from all other current members is the best
+    /// available.
     #[must_use]
     pub fn copy_is_complete(&self, joining: &StoreMember, copied: &[u64]) -> bool {
         let whole = joining
@@ -122,7 +126,7 @@
         whole.count() >= joining.needed || others.all(|identity| copied.contains(&identity))
     }
 
-    /// The member on a host.
+    /// Finds the member that runs on `host`.
     #[must_use]
     pub fn member_on_host(&self, host: &str) -> Option<&StoreMember> {
         self.members.iter().find(|it| &*it.host == host)
--- a/crates/quay_turns/tests/membership.rs
+++ b/crates/quay_turns/tests/membership.rs
@@ -1,4 +1,4 @@
-//! How members of the stores are exchanged.
+//! Forming the set of store hosts and replacing its members.
 
 use {
     quay_turns::{
@@ -7,7 +7,7 @@
     quay_types::Time,
 };
 
-fn hello(host: &str, identity: u64) -> StoreAnnouncement {
+fn announcement(host: &str, identity: u64) -> StoreAnnouncement {
     StoreAnnouncement {
         host: host.into(),
         identity,
@@ -22,24 +22,25 @@
     Time::from_millis(millis)
 }
 
-/// A view of three members, and a roster that has heard them.
+/// A view of three members, and the planner that has received their
+/// announcements.
 fn formed() -> (MembershipPlanner, StoreView) {
-    let mut roster = MembershipPlanner::new(MembershipSettings::default(), at(0));
+    let mut planner = MembershipPlanner::new(MembershipSettings::default(), at(0));
     for (host, identity) in [("a", 1), ("b", 2), ("c", 3)] {
-        roster.record_announcement(at(0), hello(host, identity));
+        planner.record_announcement(at(0), announcement(host, identity));
     }
     let mut view = StoreView::default();
-    assert_eq!(roster.next_change(at(100), &view), None, "too early");
-    let form = roster.next_change(at(600), &view).expect("form");
+    assert_eq!(planner.next_change(at(100), &view), None, "too early");
+    let form = planner.next_change(at(600), &view).expect("form");
     assert!(view.apply(&form));
-    (roster, view)
+    (planner, view)
 }
 
-/// Everybody but `silent` says hello from second 1 to `until`.
-fn hear(roster: &mut MembershipPlanner, hosts: &[(&str, u64)], until: u64) {
+/// Announces `hosts` every 300 ms from 1 s to `until` milliseconds.
+fn announce(planner: &mut MembershipPlanner, hosts: &[(&str, u64)], until: u64) {
     for millis in (1_000..=until).step_by(300) {
         for (host, identity) in hosts {
-            roster.record_announcement(at(millis), hello(host, *identity));
+            planner.record_announcement(at(millis), announcement(host, *identity));
         }
     }
 }
@@ -49,14 +50,14 @@
     let (_, mut view) = formed();
     assert_eq!((view.epoch, view.members.len()), (1, 3));
     assert!(view.all_whole());
-    assert!(!view.apply(&StoreChange::Form(vec![hello("x", 9)])));
+    assert!(!view.apply(&StoreChange::Form(vec![announcement("x", 9)])));
 }
 
 #[test]
-fn a_host_that_lost_its_disk_takes_its_own_place() {
-    let (mut roster, mut view) = formed();
-    roster.record_announcement(at(1_000), hello("b", 20));
-    let change = roster.next_change(at(1_000), &view).expect("swap");
+fn a_host_that_lost_its_data_replaces_its_former_member() {
+    let (mut planner, mut view) = formed();
+    planner.record_announcement(at(1_000), announcement("b", 20));
+    let change = planner.next_change(at(1_000), &view).expect("swap");
     assert!(view.apply(&change));
     let member = view.member(20).expect("member");
     assert!(!member.whole);
@@ -69,7 +70,7 @@
 fn a_joining_member_counts_a_source_that_has_become_whole() {
     let (_, mut view) = formed();
     for (out, host, new) in [(2, "b", 20), (3, "c", 30)] {
-        let new = Box::new(hello(host, new));
+        let new = Box::new(announcement(host, new));
         assert!(view.apply(&StoreChange::Swap { out, new }));
     }
     let second = view.member(30).expect("member").clone();
@@ -82,11 +83,11 @@
 }
 
 #[test]
-fn a_newcomer_takes_the_place_of_a_member_that_fell_silent_before() {
-    let (mut roster, view) = formed();
-    hear(&mut roster, &[("a", 1), ("b", 2)], 4_000);
-    roster.record_announcement(at(4_000), hello("d", 4));
-    let change = roster.next_change(at(4_000), &view);
+fn a_new_host_replaces_a_member_that_fell_silent_before() {
+    let (mut planner, view) = formed();
+    announce(&mut planner, &[("a", 1), ("b", 2)], 4_000);
+    planner.record_announcement(at(4_000), announcement("d", 4));
+    let change = planner.next_change(at(4_000), &view);
     assert!(
         matches!(change, Some(StoreChange::Swap { out: 3, .. })),
         "{change:?}"
@@ -94,37 +95,37 @@
 }
 
 #[test]
-fn an_old_spare_leaves_a_frozen_member_its_place() {
-    let (mut roster, view) = formed();
-    roster.record_announcement(at(0), hello("d", 4));
-    hear(&mut roster, &[("a", 1), ("b", 2), ("d", 4)], 6_000);
-    assert_eq!(roster.next_change(at(6_000), &view), None);
+fn an_older_spare_does_not_replace_a_briefly_silent_member() {
+    let (mut planner, view) = formed();
+    planner.record_announcement(at(0), announcement("d", 4));
+    announce(&mut planner, &[("a", 1), ("b", 2), ("d", 4)], 6_000);
+    assert_eq!(planner.next_change(at(6_000), &view), None);
 }
 
 #[test]
-fn a_retired_member_goes_only_if_another_host_can_take_its_place() {
-    let (mut roster, mut view) = formed();
-    hear(&mut roster, &[("a", 1), ("b", 2), ("c", 3)], 2_000);
-    assert!(!roster.can_retire(at(2_000), &view, "a"));
-    roster.record_announcement(at(2_000), hello("d", 4));
-    assert!(roster.can_retire(at(2_000), &view, "a"));
+fn a_member_is_retired_only_if_a_spare_can_replace_it() {
+    let (mut planner, mut view) = formed();
+    announce(&mut planner, &[("a", 1), ("b", 2), ("c", 3)], 2_000);
+    assert!(!planner.can_retire(at(2_000), &view, "a"));
+    planner.record_announcement(at(2_000), announcement("d", 4));
+    assert!(planner.can_retire(at(2_000), &view, "a"));
     assert!(view.apply(&StoreChange::Retire("a".into())));
-    let change = roster.next_change(at(2_000), &view).expect("swap");
+    let change = planner.next_change(at(2_000), &view).expect("swap");
     assert!(view.apply(&change));
     let newcomer = view.member(4).expect("member");
-    // The one that goes is alive and still holds what it acknowledged.
+    // The retired member is alive and still holds the writes it acknowledged.
     assert!(view.copy_is_complete(newcomer, &[1, 2]));
 }
 
 #[test]
-fn an_unreadable_change_changes_nothing() {
+fn an_inapplicable_change_leaves_the_view_unchanged() {
     let (_, mut view) = formed();
     let before = view.clone();
-    let stray = StoreChange::Swap {
+    let inapplicable = StoreChange::Swap {
         out: 99,
-        new: Box::new(hello("d", 4)),
+        new: Box::new(announcement("d", 4)),
     };
-    assert!(!view.apply(&stray));
+    assert!(!view.apply(&inapplicable));
     assert!(!view.apply(&StoreChange::Whole {
         identity: 1,
         joined: 1
@@ -134,26 +135,26 @@
 
 #[test]
 fn a_member_that_comes_back_at_another_address_is_found_there() {
-    let (mut roster, mut view) = formed();
+    let (mut planner, mut view) = formed();
     let moved = StoreAnnouncement {
         addr: ([127, 0, 0, 1], 7_777).into(),
-        ..hello("b", 2)
+        ..announcement("b", 2)
     };
-    roster.record_announcement(at(1_000), moved.clone());
-    let change = roster.next_change(at(1_000), &view).expect("change");
+    planner.record_announcement(at(1_000), moved.clone());
+    let change = planner.next_change(at(1_000), &view).expect("change");
     assert!(view.apply(&change));
     let member = view.member(2).expect("member");
     assert_eq!((member.addr, member.whole), (moved.addr, true));
-    assert_eq!(roster.next_change(at(1_000), &view), None);
+    assert_eq!(planner.next_change(at(1_000), &view), None);
 }
 
 #[test]
 fn a_joining_member_finds_its_sources_where_they_have_moved() {
-    let (mut roster, mut view) = formed();
-    roster.record_announcement(at(1_000), hello("b", 20));
-    let change = roster.next_change(at(1_000), &view).expect("swap");
+    let (mut planner, mut view) = formed();
+    planner.record_announcement(at(1_000), announcement("b", 20));
+    let change = planner.next_change(at(1_000), &view).expect("swap");
     assert!(view.apply(&change));
-    // What the joining store knew when it began to copy.
+    // The joining store's view of itself when it began to copy.
     let joining = view.member(20).expect("member").clone();
     let elsewhere = ([127, 0, 0, 1], 7_100).into();
     assert!(view.apply(&StoreChange::Moved {
@@ -166,7 +167,7 @@
         source.map(|it| it.addr)
     };
     assert_eq!(found(&view), Some(elsewhere));
-    // A later join of the same store has sources of its own.
+    // A later join of the same store has its own sources.
     view.members[1].joined += 1;
     view.members[1].sources = Vec::new();
     assert_ne!(found(&view), Some(elsewhere));
--- a/crates/quay_turns/tests/quorums.rs
+++ b/crates/quay_turns/tests/quorums.rs
@@ -1,4 +1,4 @@
-//! What quorums promise, whatever answers come.
+//! Guarantees of quorum decisions for any combination of replies.
 
 use {
     proptest::prelude::*,
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_write_fails_once_a_majority_is_out_of_reach() {
+fn a_write_fails_once_a_majority_is_unreachable() {
     let mut tally = WriteTally::new(&view(3));
     tally.failed(1);
     tally.failed(2);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_turn_is_absent_only_if_enough_whole_members_deny_it() {
+fn a_turn_is_absent_only_if_a_read_quorum_of_whole_members_lacks_it() {
     let mut view = view(3);
     view.members[2].whole = false;
     let mut tally = LookupTally::new(&view);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_spent_budget_is_refused_with_what_others_hold() {
+fn an_exceeded_budget_is_refused_with_the_charges_of_other_attempts() {
     let mut tally = ChargeTally::new(&view(3), reserved(1, 10), Tokens(100));
     tally.synced(1, [reserved(2, 91)]);
     assert_eq!(tally.verdict(), ChargeVerdict::Pending);
@@ -107,7 +107,7 @@
     assert_eq!(tally.verdict(), ChargeVerdict::Spent { others });
 }
 
-/// One reservation against stores of three members, step by step.
+/// Delivery of one attempt's reservation to one of three stores.
 #[derive(Debug, Clone)]
 struct Step {
     attempt: usize,
@@ -115,17 +115,17 @@
 }
 
 proptest! {
-    /// Whatever the order in which stores take reservations, the covered ones
-    /// exceed the budget by less than the most of one turn.
+    /// In whatever order the stores receive reservations, the covered ones
+    /// exceed the budget by at most the reservation of one turn.
     #[test]
     fn covered_reservations_stay_within_the_budget_and_one_turn(
         steps in proptest::collection::vec((0..6usize, 0..3usize), 1..60),
         budget in 0..60u64,
     ) {
-        const MOST: u64 = 10;
+        const MAX_TOKENS: u64 = 10;
         let view = view(3);
         let mut stores = vec![ChargeSet::default(); 3];
-        let own = |attempt: usize| reserved(attempt as u64 + 1, MOST);
+        let own = |attempt: usize| reserved(attempt as u64 + 1, MAX_TOKENS);
         let mut tallies: Vec<_> =
             (0..6).map(|it| ChargeTally::new(&view, own(it), Tokens(budget))).collect();
         let mut covered = [false; 6];
@@ -139,13 +139,13 @@
             tallies[step.attempt].synced(step.store as u64 + 1, held);
             covered[step.attempt] = tallies[step.attempt].verdict() == ChargeVerdict::Covered;
         }
-        let total = covered.iter().filter(|it| **it).count() as u64 * MOST;
-        prop_assert!(total <= budget + MOST, "{total} of {budget}");
+        let total = covered.iter().filter(|it| **it).count() as u64 * MAX_TOKENS;
+        prop_assert!(total <= budget + MAX_TOKENS, "{total} of {budget}");
     }
 
-    /// A write that was acknowledged is seen by every lookup that says absent.
+    /// A lookup does not report an acknowledged write as absent.
     #[test]
-    fn what_was_acknowledged_is_never_absent(
+    fn an_acknowledged_write_is_never_absent(
         took in proptest::collection::vec(any::<bool>(), 5),
         answers in proptest::collection::vec(any::<bool>(), 5),
     ) {
