--- a/crates/quay_routes/src/deadline.rs
+++ b/crates/quay_routes/src/deadline.rs
@@ -1,33 +1,35 @@
-//! How long a request may take.
+//! Deadlines of a request.
 
 use {quay_types::Time, std::time::Duration};
 
-/// How long a request may take, from when its head was read.
+/// Deadlines of a request, counted from the time at which its head was read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestDeadline {
-    /// When the caller stops waiting.
+    /// Time at which the caller stops waiting.
     pub caller_deadline: Time,
-    /// When the operator wants an answer at the latest.
+    /// Time at which the route's timeout ends.
     pub route_deadline: Time,
 }
 
 impl RequestDeadline {
-    /// The allowance of a request that arrived at `arrived`.
+    /// Creates the deadlines of a request that arrived at `arrived`. Without a
+    /// caller timeout the route's timeout applies.
     #[must_use]
-    pub fn new(arrived: Time, patience: Option<Duration>, timeout: Duration) -> Self {
+    pub fn new(arrived: Time, caller_timeout: Option<Duration>, route_timeout: Duration) -> Self {
         Self {
-            caller_deadline: arrived + patience.unwrap_or(timeout),
-            route_deadline: arrived + timeout,
+            caller_deadline: arrived + caller_timeout.unwrap_or(route_timeout),
+            route_deadline: arrived + route_timeout,
         }
     }
 
-    /// When the request is given up.
+    /// Time at which the request is abandoned: the earlier of the two
+    /// deadlines.
     #[must_use]
     pub fn at(&self) -> Time {
         self.caller_deadline.min(self.route_deadline)
     }
 
-    /// Time that is left.
+    /// Time remaining until the request is abandoned.
     #[must_use]
     pub fn remaining(&self, now: Time) -> Duration {
         self.at().since(now)
--- a/crates/quay_routes/src/dialect.rs
+++ b/crates/quay_routes/src/dialect.rs
@@ -1,4 +1,4 @@
-//! The seam behind which a platform's own names stay.
+//! Translation between a platform's HTTP messages and this product's types.
 
 use {
     crate::{
@@ -9,56 +9,58 @@
     std::time::Duration,
 };
 
-/// What a request carries on its way to an upstream.
+/// Values that are added to a request when it is forwarded to an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Forwarding<'a> {
-    /// The upstream that the request is meant for.
+    /// Name of the upstream that should run the request.
     pub upstream: &'a str,
-    /// Time that the upstream has.
+    /// Time remaining until the request's deadline.
     pub time_left: Duration,
 }
 
-/// Translates between a platform's messages and the product's types.
+/// Translates between a platform's HTTP messages and this product's types.
 ///
-/// An implementation decides nothing: it only reads and writes names.
+/// An implementation only parses and formats messages; it makes no decisions
+/// about them.
 pub trait Dialect: Clone + Send + Sync + 'static {
-    /// Reads a routing table and checks its form; [`RoutingTable::check`] is
-    /// the caller's.
+    /// Parses a routing table. The caller must validate it with
+    /// [`RoutingTable::check`].
     ///
     /// # Errors
     ///
-    /// [`TableError::Unreadable`] says what is wrong.
+    /// Returns [`TableError::Unreadable`] with the reason if the document can't
+    /// be parsed.
     fn table(&self, document: &[u8]) -> Result<RoutingTable, TableError>;
 
-    /// Reads the head of a caller's request.
+    /// Parses the head of a caller's request.
     ///
     /// # Errors
     ///
-    /// Names what is missing or can't be read.
+    /// Names the part of the head that is missing or can't be parsed.
     fn call(&self, head: &request::Parts) -> Result<CallHead, HeadError>;
 
-    /// The headers with which a request goes to an upstream.
+    /// Headers of a request that is forwarded to an upstream.
     fn forward(&self, headers: &HeaderMap, with: &Forwarding<'_>) -> HeaderMap;
 
-    /// Reads the head of an upstream's answer.
+    /// Parses the head of an upstream's response.
     fn answer(&self, head: &response::Parts) -> UpstreamHead;
 
-    /// The headers with which an upstream's answer goes to the caller.
+    /// Headers of an upstream's response that is passed on to the caller.
     fn response_headers(&self, headers: &HeaderMap) -> HeaderMap;
 
-    /// Adds what an own answer to a caller's request carries.
+    /// Adds headers to a response that the gateway itself generates.
     fn gateway_response_headers(&self, head: &CallHead, headers: &mut HeaderMap);
 
-    /// Whether a request asks if this host takes callers.
+    /// Whether a request is a readiness probe of this host.
     fn is_readiness_probe(&self, method: &Method, path: &str) -> bool;
 
-    /// Reads a call of an operator or an upstream.
+    /// Parses an administrative call of an operator or an upstream.
     ///
     /// # Errors
     ///
-    /// Says why it can't be taken.
+    /// Returns the reason if the call is unknown or its body is invalid.
     fn operator_call(&self, req: &Request<&[u8]>) -> Result<OperatorCall, OperatorError>;
 
-    /// Writes the answer to such a call.
+    /// Formats the response to an administrative call.
     fn operator_response(&self, answer: &OperatorResponse) -> Response<Box<[u8]>>;
 }
--- a/crates/quay_routes/src/head.rs
+++ b/crates/quay_routes/src/head.rs
@@ -1,48 +1,49 @@
-//! What a gateway must know of a request and of an upstream's answer.
+//! Parsed heads of requests and of upstreams' responses.
 
 use {
     crate::PromptPart,
     std::{fmt, time::Duration},
 };
 
-/// What a gateway must know of a request.
+/// Parsed head of a caller's request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct CallHead {
-    /// Number that the caller gave this attempt; repeated in logs and answers.
+    /// Identifier that the caller gave this attempt; repeated in logs and
+    /// responses.
     pub id: Box<str>,
-    /// Host that the request names, without a port.
+    /// Host of the request, without a port.
     pub host: Box<str>,
-    /// Path without the query.
+    /// Path of the request, without the query.
     pub path: Box<str>,
-    /// How long the caller will wait.
+    /// Time that the caller waits for the response.
     pub caller_timeout: Option<Duration>,
-    /// Program that the request belongs to, if it is one of a program.
+    /// Program that the request belongs to, if any.
     pub program: Option<Box<str>>,
-    /// What only a turn of a program has.
+    /// Fields that are present only in a turn of a program.
     pub turn: Option<TurnHead>,
     /// Parts of the prompt, in order.
     pub prompt: Vec<PromptPart>,
 }
 
-/// What only a turn of a program has.
+/// Fields that are present only in a turn of a program.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct TurnHead {
-    /// Tokens that all turns of the program may generate.
+    /// Total number of tokens that all turns of the program may generate.
     pub budget: Option<u64>,
-    /// Most tokens that this turn may generate.
+    /// Maximum number of tokens that this turn may generate.
     pub max_tokens: u64,
-    /// The turn that this one continues from.
+    /// Turn that this turn continues from.
     pub prior: Option<Box<str>>,
 }
 
-/// Why a request can't be taken.
+/// Reason for which the head of a request is rejected.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum HeadError {
-    /// It has no number.
+    /// The request has no identifier.
     NoId,
-    /// It names no host.
+    /// The request names no host.
     NoHost,
-    /// This header can't be read.
+    /// The named header can't be parsed.
     Unreadable(&'static str),
 }
 
@@ -58,29 +59,31 @@
 
 impl std::error::Error for HeadError {}
 
-/// What an upstream says of whether it ran a request.
+/// Whether an upstream may have run a request, according to its response.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Execution {
-    /// Nothing: it may have run.
+    /// The response does not say; the request may have run.
     #[default]
     Possible,
-    /// It did not run and never will.
+    /// The request did not run and never will.
     NotRun,
-    /// It did not run and never will, because another upstream was meant.
+    /// The request did not run and never will, since it was meant for another
+    /// upstream.
     Misdirected,
 }
 
-/// What a gateway must know of an upstream's answer.
+/// Parsed head of an upstream's response.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct UpstreamHead {
-    /// Number of the request that it answers.
+    /// Identifier of the request that the response answers.
     pub id: Option<Box<str>>,
-    /// Whether the upstream ran the request.
+    /// Whether the upstream may have run the request.
     pub execution: Execution,
-    /// Whether the answer vouches for the upstream's own bytes.
+    /// Whether the response carries a seal, which shows that its bytes come
+    /// from the upstream itself.
     pub sealed: bool,
-    /// Requests that run and wait at the upstream, and its slots.
+    /// Requests running at the upstream, requests queued there, and its slots.
     pub load: Option<(u32, u32, u32)>,
-    /// Whether the body is in a form that nobody asked for.
+    /// Whether the body has a content encoding that was not requested.
     pub encoded: bool,
 }
--- a/crates/quay_routes/src/lib.rs
+++ b/crates/quay_routes/src/lib.rs
@@ -1,9 +1,10 @@
-//! Routes of plain HTTP requests to services.
+//! Routing of HTTP requests to services.
 //!
-//! A [`RoutingTable`] is one revision of what operators allow: routes by host
-//! and path prefix, each with its service, its time limit and what may be
-//! repeated. A [`Dialect`] translates between a platform's messages and these
-//! types; nothing else knows the platform's names.
+//! A [`RoutingTable`] is one revision of the operators' routing configuration:
+//! routes by host and path prefix, each with its services, time limits and
+//! retry policy. A [`Dialect`] translates between a platform's HTTP messages
+//! and these types; no other code depends on the platform's header and field
+//! names.
 //!
 //! ```
 //! use quay_routes::{Route, RoutingTable, Target};
--- a/crates/quay_routes/src/operator.rs
+++ b/crates/quay_routes/src/operator.rs
@@ -1,46 +1,46 @@
-//! What operators and upstreams ask of a control host.
+//! Administrative calls of operators and upstreams to a control host.
 
 use {
     quay_types::{Announcement, Incarnation},
     std::{fmt, time::Duration},
 };
 
-/// What operators and upstreams ask of a control host.
+/// Administrative calls of operators and upstreams to a control host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OperatorCall {
-    /// An upstream announces itself. It may be draining.
+    /// Announces an upstream, which may be draining.
     Announce(Box<Announcement>),
-    /// An upstream is leaving.
+    /// Takes an upstream out of service.
     Leave {
-        /// Its name.
+        /// Name of the upstream.
         name: Box<str>,
-        /// Its run, if it says so.
+        /// Incarnation of the upstream, if the call states it.
         incarnation: Option<Incarnation>,
     },
-    /// Put a routing table into force, as the text that it was sent in.
+    /// Puts the routing table in the request's body into force.
     PutTable,
-    /// Read the routing table in force.
+    /// Reads the routing table in force.
     GetTable,
-    /// Empty a store host within a time.
+    /// Retires a store host: its data moves to another host.
     RetireStore {
         /// Name of the host.
         host: Box<str>,
-        /// Time that it should take.
+        /// Time within which the retirement should finish.
         within: Duration,
     },
-    /// How far a store host is emptied.
+    /// Reads the progress of a store host's retirement.
     RetireProgress {
         /// Name of the host.
         host: Box<str>,
     },
 }
 
-/// Why a call can't be taken.
+/// Reason for which an administrative call is rejected.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OperatorError {
-    /// There is no such call.
+    /// No call has this method and path.
     NoSuchCall,
-    /// The body can't be used; says why.
+    /// The body is invalid, with the reason.
     Unreadable(Box<str>),
 }
 
@@ -55,21 +55,22 @@
 
 impl std::error::Error for OperatorError {}
 
-/// What a control host answers.
+/// Response of a control host to an administrative call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OperatorResponse {
-    /// Done, or done before.
+    /// The call was carried out, now or earlier.
     Done,
-    /// The table in force, as it was sent.
+    /// Routing table in force, byte for byte as the operator sent it.
     Table(Box<[u8]>),
-    /// Whether a store host is empty.
+    /// Whether the retirement of a store host is complete.
     Retired(bool),
-    /// There is nothing by that name.
+    /// No host or upstream has the given name.
     Unknown(Box<str>),
-    /// It can't be used; says why.
+    /// The request is invalid, with the reason.
     Invalid(Box<str>),
-    /// Too few hosts would be left.
+    /// Too few store hosts would remain.
     TooFew,
-    /// This host can't be sure now; ask again.
+    /// The control host can't determine the outcome now; the caller should
+    /// retry.
     Unavailable,
 }
--- a/crates/quay_routes/src/prompt.rs
+++ b/crates/quay_routes/src/prompt.rs
@@ -1,14 +1,14 @@
-//! Parts of a prompt as blocks that caches hold.
+//! Hashes of prompts for prefix caches.
 
-/// Tokens in a block.
+/// Number of tokens in a cache block.
 pub const BLOCK_TOKENS: u64 = 64;
 
-/// One part of a prompt; prompts may share parts.
+/// One part of a prompt. Prompts may share parts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Identity of the part.
+    /// Identifier of the part.
     pub id: u64,
-    /// Its length.
+    /// Length of the part in tokens.
     pub tokens: u64,
 }
 
@@ -18,24 +18,25 @@
     parts.iter().map(|part| part.tokens).sum()
 }
 
-/// The line of calls that a prompt belongs to, and the one that it branched off
-/// from, if any. The first part is shared by many lines; the last one is the
-/// line's own and grows with each of its calls.
+/// Identifiers of the conversation branch that a prompt belongs to and of the
+/// branch that it was forked from, if any. The first part of a prompt is shared
+/// by many branches. The last part belongs to one branch only and grows with
+/// each of its calls.
 #[must_use]
 pub fn branch_ids(parts: &[PromptPart]) -> Vec<u64> {
     let mut chain = 0;
-    let chained = parts.iter().map(|part| {
+    let prefixes = parts.iter().map(|part| {
         chain = mix(chain ^ part.id);
         chain
     });
-    let mut lines: Vec<u64> = chained.skip(1).collect();
-    lines.reverse();
-    lines.truncate(2);
-    lines
+    let mut branches: Vec<u64> = prefixes.skip(1).collect();
+    branches.reverse();
+    branches.truncate(2);
+    branches
 }
 
-/// Chained hashes of the prompt's blocks: a block is only worth something to
-/// one who holds all blocks before it.
+/// Chained hashes of the prompt's blocks. Each hash covers all blocks before
+/// it, since a cached block is usable only together with these.
 #[must_use]
 pub fn block_hashes(parts: &[PromptPart]) -> Vec<u64> {
     let mut chain = 0;
--- a/crates/quay_routes/src/table.rs
+++ b/crates/quay_routes/src/table.rs
@@ -1,11 +1,11 @@
-//! One revision of what operators allow.
+//! Routing tables.
 
 use {
     serde::{Deserialize, Serialize},
     std::{collections::HashSet, fmt, time::Duration},
 };
 
-/// What may be repeated of the requests of a route.
+/// Whether and how requests of a route may be retried.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RepeatPolicy {
     /// A request may run more than once.
@@ -13,31 +13,32 @@
     /// A request runs at most once.
     #[default]
     Once,
-    /// The answer is a stream of events, and the request runs at most once.
+    /// The response is a stream of events, and the request runs at most once.
     Stream,
-    /// The answer is a stream of events that may go on at another upstream.
+    /// The response is a stream of events that another upstream can resume.
     ResumableStream,
 }
 
 impl RepeatPolicy {
-    /// Whether the answer is a stream of events.
+    /// Whether the response is a stream of events.
     #[must_use]
     pub const fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::ResumableStream)
     }
 }
 
-/// A service that a route leads to, with its share.
+/// A service that receives requests of a route, with its weight.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
     /// Name of the service.
     pub service: Box<str>,
-    /// Share of the route's requests, against the other targets.
+    /// Share of the route's requests, relative to the weights of the other
+    /// targets.
     pub weight: u32,
 }
 
 impl Target {
-    /// A target.
+    /// Creates a target.
     #[must_use]
     pub fn new(service: impl Into<Box<str>>, weight: u32) -> Self {
         Self {
@@ -47,35 +48,36 @@
     }
 }
 
-/// Where requests of one host and path prefix go.
+/// Routing rule for requests of one host and path prefix.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
-    /// Name for people.
+    /// Name of the route, for logs and errors.
     pub name: Box<str>,
-    /// Host that requests name.
+    /// Host that requests must name.
     pub host: Box<str>,
-    /// Start of the path; begins and ends with a slash.
+    /// Prefix of the path; begins and ends with a slash.
     pub prefix: Box<str>,
-    /// What may be repeated.
+    /// Whether and how requests may be retried.
     pub repeat: RepeatPolicy,
-    /// Longest time that a caller is kept waiting.
+    /// Time after which a request is abandoned.
     pub timeout: Duration,
-    /// Time within which an answer is on time.
+    /// Service level objective: time within which a response is on time.
     pub objective: Duration,
-    /// Rank; 0 is the highest.
+    /// Priority; 0 is the highest.
     pub priority: u32,
-    /// Services with their shares; at least one has a weight.
+    /// Services with their weights; at least one weight is not 0.
     pub targets: Box<[Target]>,
-    /// Upstreams that one request may run on at most.
+    /// Maximum number of upstreams that one request may be sent to.
     pub max_attempts: u32,
-    /// How long turns are kept, if the gateway keeps them.
+    /// Time for which turns are kept, if the gateway keeps them.
     pub retention: Option<Duration>,
 }
 
 impl Route {
-    /// The service for a request, by a number drawn for it.
+    /// Selects the service for a request by the random number `draw`.
     ///
-    /// The same draw gives the same service as long as the weights stay.
+    /// The same number selects the same service as long as the weights do not
+    /// change.
     #[must_use]
     pub fn target(&self, draw: u64) -> Option<&str> {
         let total: u64 = self.targets.iter().map(|it| u64::from(it.weight)).sum();
@@ -91,29 +93,31 @@
     }
 }
 
-/// A service and how its upstreams are spoken to.
+/// A service and the limits of its upstreams.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
     /// Name of the service.
     pub name: Box<str>,
-    /// Connections that an upstream accepts from all callers; 0 if unknown.
+    /// Maximum number of connections that an upstream accepts from all callers
+    /// together; 0 if unknown.
     pub max_connections: u32,
-    /// Requests that an upstream runs at a time; 0 if unknown.
+    /// Number of requests that an upstream runs concurrently; 0 if unknown.
     pub slots: u32,
-    /// Tokens that one event of a stream stands for; 0 for a plain service.
+    /// Number of tokens that one event of a stream represents; 0 for a service
+    /// that does not stream tokens.
     pub event_tokens: u32,
 }
 
-/// Bounds on what callers may send.
+/// Limits on callers' requests and connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EdgeLimits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head in bytes.
     pub head_bytes: u32,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body in bytes.
     pub body_bytes: u32,
-    /// Time for a request's head to arrive.
+    /// Time within which a request's head must arrive.
     pub head_timeout: Duration,
-    /// Time that a connection may be idle.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
 }
 
@@ -128,41 +132,42 @@
     }
 }
 
-/// One revision of what operators allow.
+/// Routing tables.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoutingTable {
-    /// Number that the operator gave it; the highest is in force.
+    /// Revision number assigned by the operator; the table with the highest one
+    /// is in force.
     pub revision: u64,
-    /// Routes.
+    /// Routes of all hosts.
     pub routes: Vec<Route>,
-    /// Services that routes may lead to.
+    /// Services that routes may refer to.
     pub services: Vec<Service>,
-    /// Bounds on what callers may send.
+    /// Limits on callers' requests and connections.
     pub limits: EdgeLimits,
 }
 
-/// Why a table can't be used.
+/// Reason for which a routing table is rejected.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TableError {
-    /// It can't be read; says why.
+    /// The document can't be parsed, with the reason.
     Unreadable(Box<str>),
-    /// A route leads to a service that the table does not have.
+    /// A route refers to a service that the table does not define.
     UnknownService {
-        /// The route.
+        /// Name of the route.
         route: Box<str>,
-        /// The service.
+        /// Name of the service.
         service: Box<str>,
     },
-    /// Two routes have this host and prefix.
+    /// Two routes have the same host and prefix.
     DuplicateRoute {
-        /// The host.
+        /// Host of the two routes.
         host: Box<str>,
-        /// The prefix.
+        /// Path prefix of the two routes.
         prefix: Box<str>,
     },
-    /// The weights of this route add up to 0.
+    /// All weights of the named route are 0.
     ZeroWeight(Box<str>),
-    /// The timeout of this route is 0.
+    /// The timeout of the named route is 0.
     ZeroTimeout(Box<str>),
 }
 
@@ -188,14 +193,14 @@
 impl std::error::Error for TableError {}
 
 impl RoutingTable {
-    /// Checks the table as a whole.
+    /// Validates the table.
     ///
     /// # Errors
     ///
-    /// The first fault.
+    /// Returns the first error found.
     pub fn check(&self) -> Result<(), TableError> {
         let known: HashSet<&str> = self.services.iter().map(|it| &*it.name).collect();
-        let mut places = HashSet::new();
+        let mut host_prefixes = HashSet::new();
         for route in &self.routes {
             for target in &route.targets {
                 if !known.contains(&*target.service) {
@@ -205,7 +210,7 @@
                     });
                 }
             }
-            if !places.insert((&route.host, &route.prefix)) {
+            if !host_prefixes.insert((&route.host, &route.prefix)) {
                 return Err(TableError::DuplicateRoute {
                     host: route.host.clone(),
                     prefix: route.prefix.clone(),
@@ -221,17 +226,17 @@
         Ok(())
     }
 
-    /// The route of a request: of its host's routes the one with the longest
-    /// prefix that begins the path.
+    /// Finds the route of a request: the one with the longest matching path
+    /// prefix among the routes of its host.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Route> {
-        let fitting = self.routes.iter().filter(|route| {
+        let matching = self.routes.iter().filter(|route| {
             route.host.eq_ignore_ascii_case(host) && path.starts_with(&*route.prefix)
         });
-        fitting.max_by_key(|route| route.prefix.len())
+        matching.max_by_key(|route| route.prefix.len())
     }
 
-    /// A service by its name.
+    /// Finds a service by its name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.iter().find(|service| &*service.name == name)
--- a/crates/quay_routes/tests/table.rs
+++ b/crates/quay_routes/tests/table.rs
@@ -1,4 +1,4 @@
-//! Which route a request takes, and which tables are refused.
+//! Route selection, table validation, deadlines and prompt hashes.
 
 use {
     proptest::prelude::*,
@@ -46,46 +46,43 @@
 }
 
 #[test]
-fn every_fault_of_a_table_is_refused() {
-    let sound = table(vec![route("r", "a", "/")]);
-    assert_eq!(sound.check(), Ok(()));
-    let mut faulty = sound.clone();
-    faulty.services.clear();
+fn every_kind_of_invalid_table_is_refused() {
+    let valid = table(vec![route("r", "a", "/")]);
+    assert_eq!(valid.check(), Ok(()));
+    let mut invalid = valid.clone();
+    invalid.services.clear();
     assert!(matches!(
-        faulty.check(),
+        invalid.check(),
         Err(TableError::UnknownService { .. })
     ));
-    let mut faulty = sound.clone();
-    faulty.routes.push(route("q", "a", "/"));
+    let mut invalid = valid.clone();
+    invalid.routes.push(route("q", "a", "/"));
     assert!(matches!(
-        faulty.check(),
+        invalid.check(),
         Err(TableError::DuplicateRoute { .. })
     ));
-    let mut faulty = sound.clone();
-    faulty.routes[0].targets[0].weight = 0;
-    assert_eq!(faulty.check(), Err(TableError::ZeroWeight("r".into())));
-    let mut faulty = sound;
-    faulty.routes[0].timeout = Duration::ZERO;
-    assert_eq!(faulty.check(), Err(TableError::ZeroTimeout("r".into())));
+    let mut invalid = valid.clone();
+    invalid.routes[0].targets[0].weight = 0;
+    assert_eq!(invalid.check(), Err(TableError::ZeroWeight("r".into())));
+    let mut invalid = valid;
+    invalid.routes[0].timeout = Duration::ZERO;
+    assert_eq!(invalid.check(), Err(TableError::ZeroTimeout("r".into())));
 }
 
 #[test]
-fn the_earlier_of_patience_and_timeout_ends_a_request() {
+fn a_request_ends_at_the_earlier_of_its_deadlines() {
     let arrived = Time::from_millis(1_000);
-    let allowance = RequestDeadline::new(
+    let deadline = RequestDeadline::new(
         arrived,
         Some(Duration::from_millis(300)),
         Duration::from_secs(1),
     );
-    assert_eq!(allowance.at(), Time::from_millis(1_300));
-    assert_eq!(
-        allowance.remaining(Time::from_millis(1_400)),
-        Duration::ZERO
-    );
+    assert_eq!(deadline.at(), Time::from_millis(1_300));
+    assert_eq!(deadline.remaining(Time::from_millis(1_400)), Duration::ZERO);
 }
 
 #[test]
-fn prompts_share_the_blocks_of_equal_first_parts() {
+fn prompts_with_equal_first_parts_share_block_hashes() {
     let part = |id, tokens| PromptPart { id, tokens };
     let a = block_hashes(&[part(1, 130), part(2, 64)]);
     let b = block_hashes(&[part(1, 130), part(3, 64)]);
@@ -95,9 +92,9 @@
 }
 
 proptest! {
-    /// Draws are shared out by weight.
+    /// Targets are selected in proportion to their weights.
     #[test]
-    fn weights_share_out_all_draws(a in 0..50u32, b in 1..50u32) {
+    fn targets_are_selected_in_proportion_to_their_weights(a in 0..50u32, b in 1..50u32) {
         let route = Route {
             targets: [Target::new("a", a), Target::new("b", b)].into(),
             ..Route::default()
@@ -109,7 +106,7 @@
 }
 
 #[test]
-fn a_prompt_names_its_line_and_the_one_that_it_branched_off_from() {
+fn a_prompt_identifies_its_branch_and_the_parent_branch() {
     use quay_routes::{PromptPart, branch_ids};
     let part = |id, tokens| PromptPart { id, tokens };
     let first = branch_ids(&[part(1, 900), part(2, 30)]);
@@ -117,10 +114,10 @@
     let branch = branch_ids(&[part(1, 900), part(2, 30), part(3, 10)]);
     let other = branch_ids(&[part(1, 900), part(4, 30)]);
     assert_eq!(first.len(), 1);
-    assert_eq!(first, next, "a line grows");
+    assert_eq!(first, next, "a longer last part belongs to the same branch");
     assert_eq!(branch[1..], first[..]);
     assert_ne!(branch[0], first[0]);
     assert_ne!(other, first);
-    // A part that many share is no line.
+    // A part that is shared by many prompts does not identify a branch.
     assert!(branch_ids(&[part(1, 900)]).is_empty() && branch_ids(&[]).is_empty());
 }
--- a/crates/quay_turns/src/membership.rs
+++ b/crates/quay_turns/src/membership.rs
@@ -1,4 +1,4 @@
-//! How the members of the stores are exchanged.
+//! Forming the set of store hosts and replacing its members.
 
 use {
     crate::{CopySource, StoreMember, StoreView},
