--- a/crates/quay_members/src/directory.rs
+++ b/crates/quay_members/src/directory.rs
@@ -1,4 +1,4 @@
-//! The directory as one host keeps it.
+//! The directory of upstreams on one host.
 
 use {
     crate::{
@@ -10,51 +10,55 @@
     std::collections::VecDeque,
 };
 
-/// Dropped lines that are remembered, so that readers hear of them and a
-/// delayed announcement does not bring them back.
-const MAX_GONE: usize = 4_096;
+/// Maximum number of tombstones of removed entries. Tombstones tell readers of
+/// the removal and keep a delayed announcement from restoring the entry.
+const MAX_TOMBSTONES: usize = 4_096;
 
-/// The directory of upstreams: soft state, rebuilt from announcements.
+/// Directory of upstreams, held in memory and rebuilt from announcements after
+/// a restart.
 #[derive(Debug)]
 pub struct Directory {
     settings: MembersSettings,
-    /// When this run began.
+    /// Time at which this run of the host started.
     started: Time,
-    /// Identity of this run of the host; versions are compared within it only.
+    /// Identifier of this run of the host. Versions are comparable only within
+    /// one run.
     run: u64,
-    /// Rises with each change that readers must hear of.
+    /// Incremented with each change that readers must receive.
     version: u64,
-    /// Lines by slot; an empty slot is free.
-    lines: Vec<Option<Entry>>,
-    /// Free slots, last freed first.
+    /// Entries by slot; `None` marks a free slot.
+    entries: Vec<Option<Entry>>,
+    /// Free slots; the last one is reused first.
     free: Vec<Slot>,
-    /// Slots by upstream.
+    /// Slot of each upstream.
     slots: IndexMap<UpstreamId, Slot>,
-    /// Upstreams that an operator has marked to leave.
+    /// Upstreams that an operator has marked as draining.
     drained: IndexSet<UpstreamId>,
-    /// Dropped lines and the version that dropped them, oldest first.
-    gone: VecDeque<(u64, Slot)>,
-    /// Readers below this version must read everything.
-    forgotten: u64,
-    /// Last run and sequence of upstreams that were dropped.
-    buried: IndexMap<UpstreamId, (Incarnation, u64)>,
+    /// Slots of removed entries with the version of the removal, oldest first.
+    removed: VecDeque<(u64, Slot)>,
+    /// Readers whose version is lower must read the whole directory, since
+    /// older removals are no longer recorded.
+    oldest_complete_version: u64,
+    /// Last incarnation and sequence of removed upstreams.
+    tombstones: IndexMap<UpstreamId, (Incarnation, u64)>,
 }
 
-/// One line for an operator.
+/// State of one upstream, for operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MemberStatus {
-    /// Latest announcement.
+    /// Latest announcement of the upstream.
     pub announcement: Announcement,
-    /// State as readers are told.
+    /// State that readers receive.
     pub state: UpstreamState,
-    /// Why it is not trusted.
+    /// Reason for which the upstream is suspected, if any.
     pub suspicion: Option<Suspicion>,
-    /// Milliseconds since it was heard.
+    /// Milliseconds since the last announcement or heartbeat.
     pub age_ms: u64,
 }
 
 impl Directory {
-    /// An empty directory; `run` must differ from all earlier runs and from 0.
+    /// Creates an empty directory. `run` must not be 0 and must differ from
+    /// that of every earlier run.
     #[must_use]
     pub fn new(now: Time, run: u64, settings: MembersSettings) -> Self {
         Self {
@@ -62,29 +66,29 @@
             started: now,
             run,
             version: 0,
-            lines: Vec::new(),
+            entries: Vec::new(),
             free: Vec::new(),
             slots: IndexMap::new(),
             drained: IndexSet::new(),
-            gone: VecDeque::new(),
-            forgotten: 0,
-            buried: IndexMap::new(),
+            removed: VecDeque::new(),
+            oldest_complete_version: 0,
+            tombstones: IndexMap::new(),
         }
     }
 
-    /// Lines now.
+    /// Number of upstreams in the directory.
     #[must_use]
     pub fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// Whether no upstream is known.
+    /// Whether the directory holds no upstream.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.slots.is_empty()
     }
 
-    /// Answers a request.
+    /// Handles a request and returns the reply.
     pub fn handle(&mut self, now: Time, req: MembersRequest) -> MembersReply {
         match req {
             MembersRequest::Announce(announcement) => self.announce(now, *announcement),
@@ -96,7 +100,7 @@
     // -----------------------------------------------------------------------
     // Sidecars
 
-    /// Takes a full announcement.
+    /// Processes a full announcement.
     pub fn announce(&mut self, now: Time, announcement: Announcement) -> MembersReply {
         let id = announcement.upstream();
         let (incarnation, sequence) = (announcement.incarnation, announcement.sequence);
@@ -108,32 +112,34 @@
             None if self.slots.len() >= usize::from(self.settings.capacity) => {
                 return MembersReply::Full;
             }
-            None => self.allot(id),
+            None => self.allocate_slot(id),
         };
-        let place = &mut self.lines[usize::from(slot.0)];
-        match place {
-            Some(line) if line.announcement.incarnation == incarnation => {
-                line.hear(now, sequence, None);
-                line.announcement = announcement;
+        let occupant = &mut self.entries[usize::from(slot.0)];
+        match occupant {
+            Some(entry) if entry.announcement.incarnation == incarnation => {
+                entry.record_message(now, sequence, None);
+                entry.announcement = announcement;
             }
             _ => {
-                let earlier = place.as_ref().map(|line| line.announcement.incarnation);
-                assert!(earlier < Some(incarnation), "the incarnation fell");
-                *place = Some(Entry::new(now, announcement));
+                let earlier = occupant
+                    .as_ref()
+                    .map(|entry| entry.announcement.incarnation);
+                assert!(earlier < Some(incarnation), "the incarnation must increase");
+                *occupant = Some(Entry::new(now, announcement));
             }
         }
-        self.buried.shift_remove(&id);
+        self.tombstones.shift_remove(&id);
         self.version += 1;
         let version = self.version;
-        if let Some(line) = &mut self.lines[usize::from(slot.0)] {
-            line.full_version = version;
-            line.version = version;
+        if let Some(entry) = &mut self.entries[usize::from(slot.0)] {
+            entry.full_version = version;
+            entry.version = version;
         }
-        self.retell(now, slot);
+        self.refresh(now, slot);
         MembersReply::Acknowledged(sequence)
     }
 
-    /// Takes a short heartbeat.
+    /// Processes a heartbeat.
     pub fn heartbeat(&mut self, now: Time, heartbeat: &Heartbeat) -> MembersReply {
         let id = heartbeat.upstream;
         if let Some(reply) = self.outdated(id, heartbeat.incarnation, heartbeat.sequence) {
@@ -142,32 +148,33 @@
         let Some(slot) = self.slots.get(&id).copied() else {
             return MembersReply::Unknown;
         };
-        let Some(line) = &mut self.lines[usize::from(slot.0)] else {
+        let Some(entry) = &mut self.entries[usize::from(slot.0)] else {
             return MembersReply::Unknown;
         };
-        if line.announcement.incarnation != heartbeat.incarnation {
+        if entry.announcement.incarnation != heartbeat.incarnation {
             return MembersReply::Unknown;
         }
-        line.hear(now, heartbeat.sequence, Some(heartbeat.acked));
-        line.announcement.state = heartbeat.state;
-        line.announcement.load = heartbeat.load;
-        self.retell(now, slot);
+        entry.record_message(now, heartbeat.sequence, Some(heartbeat.acked));
+        entry.announcement.state = heartbeat.state;
+        entry.announcement.load = heartbeat.load;
+        self.refresh(now, slot);
         MembersReply::Acknowledged(heartbeat.sequence)
     }
 
-    /// The answer to word of a past run, or word that came before.
+    /// Returns the reply to an outdated message: one of an earlier incarnation,
+    /// or one whose sequence was already received.
     fn outdated(
         &self,
         id: UpstreamId,
         incarnation: Incarnation,
         sequence: u64,
     ) -> Option<MembersReply> {
-        let live = self.slots.get(&id).and_then(|slot| self.line(*slot));
-        let known = live.map(|line| {
-            let announcement = &line.announcement;
+        let live = self.slots.get(&id).and_then(|slot| self.entry(*slot));
+        let known = live.map(|entry| {
+            let announcement = &entry.announcement;
             (announcement.incarnation, announcement.sequence)
         });
-        let (known_run, known_sequence) = known.or_else(|| self.buried.get(&id).copied())?;
+        let (known_run, known_sequence) = known.or_else(|| self.tombstones.get(&id).copied())?;
         if incarnation < known_run {
             Some(MembersReply::Superseded)
         } else if incarnation == known_run && sequence <= known_sequence {
@@ -177,11 +184,11 @@
         }
     }
 
-    /// Gives an upstream a slot.
-    fn allot(&mut self, id: UpstreamId) -> Slot {
+    /// Allocates a slot for an upstream.
+    fn allocate_slot(&mut self, id: UpstreamId) -> Slot {
         let slot = self.free.pop().unwrap_or_else(|| {
-            self.lines.push(None);
-            Slot(u16::try_from(self.lines.len() - 1).unwrap_or(u16::MAX))
+            self.entries.push(None);
+            Slot(u16::try_from(self.entries.len() - 1).unwrap_or(u16::MAX))
         });
         self.slots.insert(id, slot);
         slot
@@ -190,62 +197,65 @@
     // -----------------------------------------------------------------------
     // Operators and time
 
-    /// Sets the upstreams that are marked to leave.
+    /// Sets the upstreams that are marked as draining.
     pub fn set_drained(&mut self, now: Time, drained: IndexSet<UpstreamId>) {
         self.drained = drained;
-        self.retell_all(now);
+        self.refresh_all(now);
     }
 
-    /// Suspects and drops lines that are due.
+    /// Updates suspicions and removes entries whose lease has expired.
     pub fn tick(&mut self, now: Time) {
         let lease = self.settings.lease;
-        let lapsed: Vec<_> = self
+        let expired: Vec<_> = self
             .slots
             .iter()
-            .filter(|(_, slot)| self.line(**slot).is_none_or(|line| line.lapsed(now, lease)))
+            .filter(|(_, slot)| {
+                self.entry(**slot)
+                    .is_none_or(|entry| entry.lease_expired(now, lease))
+            })
             .map(|(id, slot)| (*id, *slot))
             .collect();
-        for (id, slot) in lapsed {
-            self.drop_line(now, id, slot);
+        for (id, slot) in expired {
+            self.remove_entry(now, id, slot);
         }
-        self.retell_all(now);
+        self.refresh_all(now);
     }
 
-    /// Drops a line whose lease has ended.
-    fn drop_line(&mut self, now: Time, id: UpstreamId, slot: Slot) {
+    /// Removes an entry whose lease has expired.
+    fn remove_entry(&mut self, now: Time, id: UpstreamId, slot: Slot) {
         self.version += 1;
         self.slots.shift_remove(&id);
-        if let Some(line) = self.lines[usize::from(slot.0)].take() {
+        if let Some(entry) = self.entries[usize::from(slot.0)].take() {
             assert!(
-                line.lapsed(now, self.settings.lease),
-                "dropped under a lease"
+                entry.lease_expired(now, self.settings.lease),
+                "the lease of a removed entry must have expired"
             );
-            let announcement = &line.announcement;
+            let announcement = &entry.announcement;
             let last = (announcement.incarnation, announcement.sequence);
-            self.buried.insert(id, last);
+            self.tombstones.insert(id, last);
         }
         self.free.push(slot);
-        self.gone.push_back((self.version, slot));
-        if self.gone.len() > MAX_GONE
-            && let Some((version, _)) = self.gone.pop_front()
+        self.removed.push_back((self.version, slot));
+        if self.removed.len() > MAX_TOMBSTONES
+            && let Some((version, _)) = self.removed.pop_front()
         {
-            self.forgotten = version;
+            self.oldest_complete_version = version;
         }
-        if self.buried.len() > MAX_GONE {
-            self.buried.shift_remove_index(0);
+        if self.tombstones.len() > MAX_TOMBSTONES {
+            self.tombstones.shift_remove_index(0);
         }
     }
 
-    /// Every line, for an operator.
+    /// Lists all upstreams, for operators.
     #[must_use]
     pub fn members(&self, now: Time) -> Vec<MemberStatus> {
-        let lines = self.slots.values().filter_map(|slot| self.line(*slot));
-        lines
-            .map(|line| MemberStatus {
-                announcement: line.announcement.clone(),
-                state: line.told.state,
-                suspicion: line.suspicion(now, &self.settings),
-                age_ms: u64::try_from(now.since(line.heard).as_millis()).unwrap_or(u64::MAX),
+        let entries = self.slots.values().filter_map(|slot| self.entry(*slot));
+        entries
+            .map(|entry| MemberStatus {
+                announcement: entry.announcement.clone(),
+                state: entry.published.state,
+                suspicion: entry.suspicion(now, &self.settings),
+                age_ms: u64::try_from(now.since(entry.last_heard).as_millis()).unwrap_or(u64::MAX),
             })
             .collect()
     }
@@ -253,35 +263,36 @@
     // -----------------------------------------------------------------------
     // Readers
 
-    /// What changed since a reader's version; takes its failure reports too.
+    /// Records a reader's failure reports and returns the changes since the
+    /// versions that the reader holds.
     pub fn changes(&mut self, now: Time, req: &ChangesRequest) -> Changes {
-        self.take_failure_reports(now, req);
-        let reset = req.run != self.run || req.announced < self.forgotten;
+        self.record_failure_reports(now, req);
+        let reset = req.run != self.run || req.announced < self.oldest_complete_version;
         let (known, since) = if reset {
-            // Every line is sent in full, with its load of that time.
+            // Every entry is sent in full, with its current load.
             (0, self.version)
         } else {
             (req.announced, req.version)
         };
         let (full, announced) = self.announced_since(known);
-        // While announcements are missing the loads wait: both at once would
-        // take a starting reader over its share of the network.
+        // Loads are sent only after all announcements: sending both at once
+        // would exceed the network share of a reader that starts.
         let (loads, version) = if announced < self.version {
             (Vec::new(), since)
         } else {
             self.loads_since(known, since)
         };
         let full = full.into_iter().filter_map(|slot| {
-            let line = self.line(slot)?;
+            let entry = self.entry(slot)?;
             Some(FullEntry {
                 slot,
-                announcement: bare(&line.announcement),
-                load: aged(now, line),
+                announcement: without_load(&entry.announcement),
+                load: load_with_age(now, entry),
             })
         });
         let loads = loads
             .into_iter()
-            .filter_map(|slot| Some((slot, aged(now, self.line(slot)?))));
+            .filter_map(|slot| Some((slot, load_with_age(now, self.entry(slot)?))));
         Changes {
             run: self.run,
             announced,
@@ -289,35 +300,36 @@
             reset,
             more: announced < self.version || version < self.version,
             complete: now.since(self.started) >= self.settings.suspect_after(),
-            removed: self.gone_since(known, announced),
+            removed: self.removed_since(known, announced),
             full: full.collect(),
             loads: loads.collect(),
         }
     }
 
-    /// Lines that were announced after a version, as many as one answer may
-    /// hold, and the version up to which these are all.
+    /// Entries announced after version `known`, limited to the size of one
+    /// reply, and the version up to which the result is complete.
     fn announced_since(&self, known: u64) -> (Vec<Slot>, u64) {
-        self.oldest(self.settings.max_full_entries, |line| {
-            (line.full_version > known).then_some(line.full_version)
+        self.oldest(self.settings.max_full_entries, |entry| {
+            (entry.full_version > known).then_some(entry.full_version)
         })
     }
 
-    /// Lines that the reader knows and whose load changed after a version. The
-    /// others are sent in full, with the load of that time.
+    /// Entries that the reader holds at version `known` and whose load changed
+    /// after version `since`, and the version up to which the result is
+    /// complete. Other entries are sent in full, together with their load.
     fn loads_since(&self, known: u64, since: u64) -> (Vec<Slot>, u64) {
-        self.oldest(self.settings.max_entries, |line| {
-            let changed = line.full_version <= known && line.version > since;
-            changed.then_some(line.version)
+        self.oldest(self.settings.max_entries, |entry| {
+            let changed = entry.full_version <= known && entry.version > since;
+            changed.then_some(entry.version)
         })
     }
 
-    /// The lines with the lowest versions, and the version up to which these
-    /// are all.
+    /// Up to `limit` entries with the lowest versions, and the version up to
+    /// which the result is complete.
     fn oldest(&self, limit: usize, version: impl Fn(&Entry) -> Option<u64>) -> (Vec<Slot>, u64) {
-        let lines = self.slots.values();
-        let mut chosen: Vec<_> = lines
-            .filter_map(|slot| Some((version(self.line(*slot)?)?, *slot)))
+        let entries = self.slots.values();
+        let mut chosen: Vec<_> = entries
+            .filter_map(|slot| Some((version(self.entry(*slot)?)?, *slot)))
             .collect();
         chosen.sort_unstable();
         let complete = chosen.len() <= limit;
@@ -327,68 +339,71 @@
         (slots, if complete { self.version } else { last })
     }
 
-    /// Slots whose line was dropped after a version. One that was given out
-    /// again is replaced by its new line, unless that comes later.
-    fn gone_since(&self, known: u64, announced: u64) -> Box<[Slot]> {
-        let gone = self.gone.iter().filter(|(at, _)| *at > known);
-        let slots = gone.map(|(_, slot)| *slot);
+    /// Slots whose entry was removed after version `known`. A reused slot is
+    /// left out, since its new entry replaces the old one, unless the new entry
+    /// is sent in a later reply.
+    fn removed_since(&self, known: u64, announced: u64) -> Box<[Slot]> {
+        let removed = self.removed.iter().filter(|(at, _)| *at > known);
+        let slots = removed.map(|(_, slot)| *slot);
         let empty = slots.filter(|slot| {
-            let line = self.line(*slot);
-            line.is_none_or(|line| line.full_version > announced)
+            let entry = self.entry(*slot);
+            entry.is_none_or(|entry| entry.full_version > announced)
         });
         empty.collect::<IndexSet<_>>().into_iter().collect()
     }
 
-    /// Notes what a reader complains of.
-    fn take_failure_reports(&mut self, now: Time, req: &ChangesRequest) {
+    /// Records a reader's failure reports.
+    fn record_failure_reports(&mut self, now: Time, req: &ChangesRequest) {
         for report in &req.failure_reports {
             let Some(slot) = self.slots.get(&report.upstream).copied() else {
                 continue;
             };
-            if let Some(line) = &mut self.lines[usize::from(slot.0)]
-                && line.announcement.incarnation == report.incarnation
+            if let Some(entry) = &mut self.entries[usize::from(slot.0)]
+                && entry.announcement.incarnation == report.incarnation
             {
-                line.report_failure(now, req.reader, &self.settings);
-                self.retell(now, slot);
+                entry.report_failure(now, req.reader, &self.settings);
+                self.refresh(now, slot);
             }
         }
     }
 
     // -----------------------------------------------------------------------
-    // Lines
+    // Entries
 
-    /// The line in a slot.
-    fn line(&self, slot: Slot) -> Option<&Entry> {
-        self.lines.get(usize::from(slot.0))?.as_ref()
+    /// Entry in a slot.
+    fn entry(&self, slot: Slot) -> Option<&Entry> {
+        self.entries.get(usize::from(slot.0))?.as_ref()
     }
 
-    /// Gives a line a new version if readers would see a difference.
-    fn retell(&mut self, now: Time, slot: Slot) {
-        let Some(Some(line)) = self.lines.get_mut(usize::from(slot.0)) else {
+    /// Updates the state and load that readers receive, and increments the
+    /// entry's version if they changed.
+    fn refresh(&mut self, now: Time, slot: Slot) {
+        let Some(Some(entry)) = self.entries.get_mut(usize::from(slot.0)) else {
             return;
         };
-        let drained = self.drained.contains(&line.announcement.upstream());
-        let view = line.view(now, drained, &self.settings);
-        if line.version > 0 && view.same_load(&line.told) {
+        let drained = self.drained.contains(&entry.announcement.upstream());
+        let current = entry.current_load(now, drained, &self.settings);
+        if entry.version > 0 && current.same_load(&entry.published) {
             return;
         }
-        line.told = view;
+        entry.published = current;
         self.version += 1;
-        line.version = self.version;
+        entry.version = self.version;
     }
 
-    /// Does the same for every line.
-    fn retell_all(&mut self, now: Time) {
+    /// Updates the state and load that readers receive for every entry.
+    fn refresh_all(&mut self, now: Time) {
         for index in 0..self.slots.len() {
             if let Some((_, slot)) = self.slots.get_index(index) {
-                self.retell(now, *slot);
+                self.refresh(now, *slot);
             }
         }
     }
 }
 
-/// An announcement without what is sent as a [`CompactLoad`].
-fn bare(announcement: &Announcement) -> Announcement {
+/// Returns an announcement without the load and sequence; the load is sent as a
+/// [`CompactLoad`].
+fn without_load(announcement: &Announcement) -> Announcement {
     Announcement {
         load: Load::default(),
         sequence: 0,
@@ -396,17 +411,17 @@
     }
 }
 
-/// A line's load with its age.
-fn aged(now: Time, line: &Entry) -> CompactLoad {
-    let report_ms = line.announcement.load.age_ms;
-    let heard_ms = u32::try_from(now.since(line.heard).as_millis()).unwrap_or(u32::MAX);
+/// Load of an entry with its current age.
+fn load_with_age(now: Time, entry: &Entry) -> CompactLoad {
+    let report_ms = entry.announcement.load.age_ms;
+    let heard_ms = u32::try_from(now.since(entry.last_heard).as_millis()).unwrap_or(u32::MAX);
     let age_ms = report_ms.saturating_add(heard_ms);
     let aged = Load {
         age_ms,
         ..Load::default()
     };
     CompactLoad {
-        age: CompactLoad::of(line.told.state, &aged).age,
-        ..line.told
+        age: CompactLoad::of(entry.published.state, &aged).age,
+        ..entry.published
     }
 }
--- a/crates/quay_members/src/entry.rs
+++ b/crates/quay_members/src/entry.rs
@@ -1,4 +1,4 @@
-//! One upstream as a host knows it.
+//! Directory entry of one upstream.
 
 use {
     crate::{CompactLoad, MembersSettings},
@@ -6,68 +6,71 @@
     std::time::Duration,
 };
 
-/// Why an upstream is not trusted although its lease has not ended.
+/// Reason for which an upstream is suspected although its lease has not
+/// expired.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Suspicion {
-    /// It missed more than one heartbeat.
+    /// More than [`MembersSettings::missed_heartbeats`] heartbeats are missing.
     Silent,
-    /// Its heartbeats arrive but it does not hear their answers.
+    /// Heartbeats arrive, but the replies do not reach the sidecar.
     OneWay,
-    /// Readers' requests to it fail.
+    /// Readers report that requests to the upstream fail.
     FailureReports,
 }
 
-/// Complaints that are kept of one upstream.
+/// Maximum number of failure reports that are kept for one upstream.
 const MAX_FAILURE_REPORTS: usize = 16;
 
-/// One upstream.
+/// Directory entry of one upstream.
 #[derive(Debug)]
 pub(crate) struct Entry {
     pub announcement: Announcement,
-    /// When it was last heard.
-    pub heard: Time,
-    /// Heartbeats in a row that did not know of the answer before.
-    unheard_answers: u32,
-    /// Readers that complained, and when; oldest first.
+    /// Time of the last announcement or heartbeat.
+    pub last_heard: Time,
+    /// Consecutive heartbeats that did not acknowledge the previous reply.
+    unheard_replies: u32,
+    /// Readers that reported failures, with the time of the report, oldest
+    /// first.
     failure_reports: Vec<(u64, Time)>,
-    /// End of the time for which failure reports keep it marked.
+    /// Time until which failure reports keep the upstream marked as failing.
     failing_until: Time,
-    /// State and load as readers are told.
-    pub told: CompactLoad,
+    /// State and load that readers receive.
+    pub published: CompactLoad,
     /// Version of the last change of the announcement.
     pub full_version: u64,
-    /// Version of the last change of any part; not below `full_version`.
+    /// Version of the last change of any part; at least `full_version`.
     pub version: u64,
 }
 
 impl Entry {
-    /// A line that was just announced.
+    /// Creates the entry of an upstream that was just announced.
     pub fn new(now: Time, announcement: Announcement) -> Self {
         Self {
             announcement,
-            heard: now,
-            unheard_answers: 0,
+            last_heard: now,
+            unheard_replies: 0,
             failure_reports: Vec::new(),
             failing_until: Time::ZERO,
-            told: CompactLoad::default(),
+            published: CompactLoad::default(),
             full_version: 0,
             version: 0,
         }
     }
 
-    /// Notes a sign of life; `acked` is the last answer that the sidecar heard.
-    pub fn hear(&mut self, now: Time, sequence: u64, acked: Option<u64>) {
-        let heard_answer = acked.is_none_or(|acked| acked >= self.announcement.sequence);
-        self.unheard_answers = if heard_answer {
+    /// Records an announcement or heartbeat. `acked` is the last sequence whose
+    /// reply reached the sidecar.
+    pub fn record_message(&mut self, now: Time, sequence: u64, acked: Option<u64>) {
+        let reply_heard = acked.is_none_or(|acked| acked >= self.announcement.sequence);
+        self.unheard_replies = if reply_heard {
             0
         } else {
-            self.unheard_answers.saturating_add(1)
+            self.unheard_replies.saturating_add(1)
         };
         self.announcement.sequence = sequence;
-        self.heard = now;
+        self.last_heard = now;
     }
 
-    /// Notes a reader's report.
+    /// Records a reader's failure report.
     pub fn report_failure(&mut self, now: Time, reader: u64, settings: &MembersSettings) {
         let window = settings.report_window;
         self.failure_reports
@@ -81,11 +84,11 @@
         }
     }
 
-    /// Why it is not trusted now.
+    /// Reason for which the upstream is suspected at `now`, if any.
     pub fn suspicion(&self, now: Time, settings: &MembersSettings) -> Option<Suspicion> {
-        if now.since(self.heard) > settings.suspect_after() {
+        if now.since(self.last_heard) > settings.suspect_after() {
             Some(Suspicion::Silent)
-        } else if self.unheard_answers >= settings.unheard_replies {
+        } else if self.unheard_replies >= settings.unheard_replies {
             Some(Suspicion::OneWay)
         } else if now < self.failing_until {
             Some(Suspicion::FailureReports)
@@ -94,13 +97,18 @@
         }
     }
 
-    /// Whether its lease has ended.
-    pub fn lapsed(&self, now: Time, lease: Duration) -> bool {
-        now.since(self.heard) >= lease
+    /// Whether the lease has expired.
+    pub fn lease_expired(&self, now: Time, lease: Duration) -> bool {
+        now.since(self.last_heard) >= lease
     }
 
-    /// State and load as readers should be told now.
-    pub fn view(&self, now: Time, drained: bool, settings: &MembersSettings) -> CompactLoad {
+    /// State and load that readers should receive at `now`.
+    pub fn current_load(
+        &self,
+        now: Time,
+        drained: bool,
+        settings: &MembersSettings,
+    ) -> CompactLoad {
         let announced = self.announcement.state;
         let state = if drained || announced == UpstreamState::Draining {
             UpstreamState::Draining
--- a/crates/quay_members/src/lib.rs
+++ b/crates/quay_members/src/lib.rs
@@ -1,8 +1,8 @@
-//! Directory of upstreams, kept by announcements under leases.
+//! Directory of upstreams, maintained by announcements under leases.
 //!
-//! Sidecars announce themselves to the hosts that keep the [`Directory`]; daemons
-//! read what changed since their last read into a [`DirectoryView`]. Nothing here does I/O
-//! or reads a clock, and random numbers are passed in.
+//! Sidecars announce themselves to the hosts that keep the [`Directory`];
+//! daemons read the changes since their last read into a [`DirectoryView`]. The
+//! crate does no I/O and reads no clock, and random numbers are passed in.
 //!
 //! ```
 //! use quay_members::{Directory, MembersSettings, DirectoryView};
--- a/crates/quay_members/src/message.rs
+++ b/crates/quay_members/src/message.rs
@@ -1,88 +1,90 @@
-//! Messages between sidecars, hosts that keep the directory and readers.
+//! Messages between sidecars, hosts that keep the directory, and readers.
 
 use {
     quay_types::{Announcement, Incarnation, Load, UpstreamId, UpstreamState},
     serde::{Deserialize, Serialize},
 };
 
-/// Place of a line in the directory of one host's run; two bytes on the wire
-/// where the upstream's key would take eight.
+/// Position of an entry in the directory, valid within one run of a host. A
+/// slot takes two bytes on the wire; the upstream's key would take eight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Slot(pub u16);
 
-/// A sidecar's short heartbeat, once the host knows its announcement.
+/// Heartbeat of a sidecar whose announcement the host holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The upstream.
+    /// Upstream that the message refers to.
     pub upstream: UpstreamId,
-    /// Run of the sidecar.
+    /// Incarnation of the sidecar.
     pub incarnation: Incarnation,
-    /// Rises with each heartbeat or announcement of one incarnation.
+    /// Incremented with each heartbeat or announcement of one incarnation.
     pub sequence: u64,
-    /// Last sequence that this host is known to have heard.
+    /// Highest sequence for which the sidecar has received this host's reply.
     pub acked: u64,
-    /// Whether the upstream takes new work.
+    /// Whether the upstream accepts new work.
     pub state: UpstreamState,
-    /// Its load.
+    /// Load of the upstream.
     pub load: Load,
 }
 
-/// A reader's word that requests to a listed upstream fail.
+/// Report of a reader that requests to an upstream fail.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailureReport {
-    /// The upstream.
+    /// Upstream that the message refers to.
     pub upstream: UpstreamId,
-    /// Run of its sidecar.
+    /// Incarnation of the upstream's sidecar.
     pub incarnation: Incarnation,
 }
 
-/// Asks for what changed.
+/// Request for the changes since the reader's last read.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangesRequest {
-    /// Identity of the reader, for failure reports.
+    /// Identifier of the reader, to count failure reports of distinct readers.
     pub reader: u64,
-    /// Run of the host that the versions are of; 0 if none was read.
+    /// Run of the host to which the versions belong; 0 before the first read.
     pub run: u64,
     /// Version up to which the reader holds announcements.
     pub announced: u64,
-    /// Version up to which it holds the loads of the lines that it knows.
+    /// Version up to which the reader holds the loads of its entries.
     pub version: u64,
-    /// Upstreams that did not answer the reader's requests since its last read.
+    /// Upstreams that did not respond to the reader's requests since its last
+    /// read.
     pub failure_reports: Box<[FailureReport]>,
 }
 
 /// First message on a stream to a host that keeps the directory.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MembersRequest {
-    /// Everything about an upstream.
+    /// Full announcement of an upstream.
     Announce(Box<Announcement>),
-    /// What changes often.
+    /// Heartbeat with the current state and load.
     Heartbeat(Heartbeat),
-    /// A reader's question.
+    /// Request of a reader for changes.
     Changes(ChangesRequest),
 }
 
-/// A line in full.
+/// Full entry of an upstream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FullEntry {
-    /// Its place.
+    /// Slot of the entry.
     pub slot: Slot,
-    /// The announcement; its load is sent as a [`CompactLoad`].
+    /// Announcement of the upstream; the load is sent as a [`CompactLoad`].
     pub announcement: Announcement,
-    /// State and load.
+    /// State and load of the upstream.
     pub load: CompactLoad,
 }
 
-/// State and load of a line in few bytes.
+/// Compact encoding of an upstream's state and load.
 ///
-/// Numbers are rounded: routing does not tell 7,000 prompt tokens from 7,100.
+/// Numbers are rounded: routing does not distinguish 7,000 prompt tokens from
+/// 7,100.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompactLoad {
-    /// Whether it takes new work.
+    /// Whether the upstream accepts new work.
     pub state: UpstreamState,
-    /// Calls queued.
+    /// Number of calls queued.
     pub queued: u16,
-    /// Calls running.
+    /// Number of calls running.
     pub running: u16,
     /// Prompt tokens to prefill, in units of [`CompactLoad::BACKLOG_UNIT`].
     pub backlog: u16,
@@ -90,21 +92,22 @@
     pub kv: u8,
     /// Time between tokens, in units of [`CompactLoad::GAP_UNIT`].
     pub gap: u16,
-    /// Age of the load when it was sent, in units of [`CompactLoad::AGE_UNIT`].
+    /// Age of the load at the time of sending, in units of
+    /// [`CompactLoad::AGE_UNIT`].
     pub age: u8,
 }
 
 impl CompactLoad {
-    /// Prompt tokens.
+    /// Unit of `backlog`, in prompt tokens.
     pub const BACKLOG_UNIT: u64 = 256;
-    /// Thousandths of the KV memory.
+    /// Unit of `kv`, in thousandths of the KV memory.
     pub const KV_UNIT: u16 = 8;
-    /// Microseconds.
+    /// Unit of `gap`, in microseconds.
     pub const GAP_UNIT: u32 = 500;
-    /// Milliseconds.
+    /// Unit of `age`, in milliseconds.
     pub const AGE_UNIT: u32 = 32;
 
-    /// Rounds a load.
+    /// Encodes a state and load, rounding the load.
     #[must_use]
     pub fn of(state: UpstreamState, load: &Load) -> Self {
         Self {
@@ -118,7 +121,7 @@
         }
     }
 
-    /// Whether readers would see a difference; age does not count.
+    /// Whether state and load are equal, ignoring the age.
     #[must_use]
     pub fn same_load(&self, other: &Self) -> bool {
         let aged = Self {
@@ -128,7 +131,7 @@
         *self == aged
     }
 
-    /// The load again, as far as the rounding kept it.
+    /// Decodes the load, with the precision that the rounding kept.
     #[must_use]
     pub fn load(&self) -> Load {
         Load {
@@ -142,50 +145,54 @@
     }
 }
 
-/// The largest number of two bytes where a number has more.
+/// Converts to `u16`, saturating at the maximum.
 fn saturate16(number: u64) -> u16 {
     u16::try_from(number).unwrap_or(u16::MAX)
 }
 
-/// The largest number of one byte where a number has more.
+/// Converts to `u8`, saturating at the maximum.
 fn saturate8(number: u32) -> u8 {
     u8::try_from(number).unwrap_or(u8::MAX)
 }
 
-/// What changed since a version.
+/// Changes of the directory since the reader's versions.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Changes {
-    /// Run of the host that answers.
+    /// Run of the host that replies.
     pub run: u64,
-    /// Version up to which the reader holds announcements afterwards.
+    /// Version up to which the reader holds announcements after it applies the
+    /// changes.
     pub announced: u64,
-    /// Version up to which it holds loads afterwards.
+    /// Version up to which the reader holds loads after it applies the changes.
     pub version: u64,
-    /// Whether the reader must forget what it held.
+    /// Whether the reader must discard its entries first.
     pub reset: bool,
-    /// Whether there is more to read.
+    /// Whether more changes remain to be read.
     pub more: bool,
-    /// Whether every live sidecar has had time to announce itself to this run.
+    /// Whether this run has lasted long enough for every live sidecar to
+    /// announce itself.
     pub complete: bool,
-    /// New lines, and lines whose announcement changed.
+    /// New entries, and entries whose announcement changed.
     pub full: Box<[FullEntry]>,
-    /// Lines whose state or load changed.
+    /// Entries whose state or load changed.
     pub loads: Box<[(Slot, CompactLoad)]>,
-    /// Lines that are no more; they come before any line of the same slot.
+    /// Slots of removed entries. The removals apply before the entries in
+    /// `full` and `loads`.
     pub removed: Box<[Slot]>,
 }
 
-/// Answer to a [`MembersRequest`].
+/// Reply to a [`MembersRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MembersReply {
-    /// The announcement or heartbeat with this sequence was heard.
+    /// The host has received the announcement or heartbeat with this sequence.
     Acknowledged(u64),
-    /// The host does not know the upstream: announce it in full.
+    /// The host does not hold the upstream; the sidecar must send the full
+    /// announcement.
     Unknown,
-    /// A later run of the sidecar is known.
+    /// The host knows a later incarnation of the sidecar.
     Superseded,
-    /// The directory is full.
+    /// The directory has reached its capacity.
     Full,
-    /// Answer to `Changes`.
+    /// Reply to [`MembersRequest::Changes`].
     Changes(Changes),
 }
--- a/crates/quay_members/src/pacer.rs
+++ b/crates/quay_members/src/pacer.rs
@@ -1,15 +1,15 @@
-//! Intervals with jitter, so that processes that start together do not ask
-//! together.
+//! Intervals with jitter and back-off, so that processes that start at the same
+//! time do not send requests at the same time.
 
 use std::time::Duration;
 
-/// Longest wait after failures, in intervals.
+/// Maximum back-off after failures, in intervals.
 const MAX_BACKOFF: u32 = 4;
 
-/// Spread of an interval, as a share of it.
+/// Width of the jitter range, as a fraction of the interval.
 const JITTER: f64 = 0.2;
 
-/// Says how long to wait before each round.
+/// Computes the wait before each round of a periodic task.
 #[derive(Debug, Clone)]
 pub struct Pacer {
     interval: Duration,
@@ -18,7 +18,7 @@
 }
 
 impl Pacer {
-    /// Rounds `interval` apart.
+    /// Creates a pacer for rounds that are `interval` apart.
     #[must_use]
     pub const fn new(interval: Duration) -> Self {
         Self {
@@ -28,19 +28,21 @@
         }
     }
 
-    /// Notes how a round went.
-    pub const fn record_outcome(&mut self, well: bool) {
-        self.failures = if well {
+    /// Records whether a round succeeded.
+    pub const fn record_outcome(&mut self, succeeded: bool) {
+        self.failures = if succeeded {
             0
         } else {
             self.failures.saturating_add(1)
         };
     }
 
-    /// The wait before the next round. `random` is drawn evenly from 0 to 1.
+    /// Returns the wait before the next round. `random` is drawn uniformly from
+    /// 0 to 1.
     ///
-    /// The first wait is anywhere within an interval. After failures waits
-    /// double, and are drawn from the whole span, up to 4 intervals.
+    /// The first wait is up to one interval. After failures the upper bound
+    /// doubles up to 4 intervals, and the wait is drawn between half an
+    /// interval and this bound.
     pub fn next_wait(&mut self, random: f64) -> Duration {
         let random = random.clamp(0.0, 1.0);
         if !self.started {
@@ -48,14 +50,17 @@
             return self.interval.mul_f64(random);
         }
         if self.failures == 0 {
-            let share = (random - 0.5).mul_add(JITTER, 1.0);
-            return self.interval.mul_f64(share);
+            let factor = (random - 0.5).mul_add(JITTER, 1.0);
+            return self.interval.mul_f64(factor);
         }
         let factor = 1u32
             .checked_shl(self.failures)
             .unwrap_or(MAX_BACKOFF)
             .min(MAX_BACKOFF);
-        let span = self.interval * factor;
-        self.interval.mul_f64(0.5) + span.saturating_sub(self.interval / 2).mul_f64(random)
+        let upper_bound = self.interval * factor;
+        self.interval.mul_f64(0.5)
+            + upper_bound
+                .saturating_sub(self.interval / 2)
+                .mul_f64(random)
     }
 }
--- a/crates/quay_members/src/settings.rs
+++ b/crates/quay_members/src/settings.rs
@@ -1,30 +1,35 @@
-//! Times and bounds of membership.
+//! Times and limits of the directory.
 
 use std::time::Duration;
 
-/// Times and bounds of membership.
+/// Times and limits of the directory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MembersSettings {
-    /// Interval of a sidecar's heartbeats.
+    /// Interval between a sidecar's heartbeats.
     pub heartbeat: Duration,
-    /// Heartbeats that may be missed before a line is suspected; more than one.
+    /// Number of heartbeats that may be missed before an upstream is suspected;
+    /// must be more than 1.
     pub missed_heartbeats: u32,
-    /// Silence after which a line is dropped; longer than `heartbeat * missed`.
+    /// Time without a message after which an upstream is removed; must be
+    /// longer than `heartbeat * missed_heartbeats`.
     pub lease: Duration,
-    /// Heartbeats in a row that show that answers do not arrive, before a line
-    /// is suspected.
+    /// Number of consecutive heartbeats that show that replies do not reach the
+    /// sidecar, before its upstream is suspected.
     pub unheard_replies: u32,
-    /// Readers that must complain of an upstream before it counts as failing.
+    /// Number of distinct readers that must report failures of an upstream
+    /// before it is marked as failing.
     pub min_reporters: usize,
-    /// How long a report counts.
+    /// Time for which a failure report counts.
     pub report_window: Duration,
-    /// How long an upstream that readers complained of stays marked.
+    /// Time for which an upstream stays marked as failing after failure
+    /// reports.
     pub failing_period: Duration,
-    /// Full lines in one answer.
+    /// Maximum number of full entries in one reply.
     pub max_full_entries: usize,
-    /// Lines of any form in one answer.
+    /// Maximum number of load entries in one reply.
     pub max_entries: usize,
-    /// Lines at most; announcements beyond are refused.
+    /// Maximum number of entries; announcements of further upstreams are
+    /// refused.
     pub capacity: u16,
 }
 
@@ -46,10 +51,10 @@
 }
 
 impl MembersSettings {
-    /// Silence after which a line is suspected.
+    /// Time without a message after which an upstream is suspected.
     #[must_use]
     pub fn suspect_after(&self) -> Duration {
-        // Half an interval more, since heartbeats are sent with jitter.
+        // Half an interval is added, since heartbeats are sent with jitter.
         self.heartbeat * self.missed_heartbeats + self.heartbeat / 2
     }
 }
--- a/crates/quay_members/src/view.rs
+++ b/crates/quay_members/src/view.rs
@@ -1,4 +1,4 @@
-//! The directory as a reader holds it.
+//! A reader's copy of the directory.
 
 use {
     crate::{Changes, ChangesRequest, CompactLoad, FailureReport, Slot},
@@ -6,41 +6,42 @@
     quay_types::{Announcement, DirectoryEntry, Time, UpstreamId},
 };
 
-/// Complaints that wait for the next read.
+/// Maximum number of failure reports that are kept until the next read.
 const MAX_FAILURE_REPORTS: usize = 32;
 
-/// A line as it was told.
+/// An entry as received from the host.
 #[derive(Debug, Clone)]
-struct Told {
+struct ViewEntry {
     announcement: Announcement,
     load: CompactLoad,
 }
 
-/// Lines by slot.
-type Lines = IndexMap<Slot, Told>;
+/// Entries by slot.
+type Entries = IndexMap<Slot, ViewEntry>;
 
 /// A reader's copy of one host's directory.
 ///
-/// When the reader turns to another host, or the host has restarted, the copy
-/// that was held is used until the new one is complete: a directory that is
-/// still being announced to must not take upstreams away.
+/// When the reader switches to another host, or the host restarts, the previous
+/// copy remains in use until the new one is complete. Otherwise a directory to
+/// which not all sidecars have announced themselves yet would remove live
+/// upstreams.
 #[derive(Debug, Default)]
 pub struct DirectoryView {
-    /// Run of the host that is read.
+    /// Run of the host that the copy was read from.
     run: u64,
     announced: u64,
     version: u64,
-    lines: Lines,
-    /// The last complete copy, while `lines` is not complete.
-    earlier: Option<Lines>,
+    entries: Entries,
+    /// Last complete copy, kept while `entries` is incomplete.
+    previous: Option<Entries>,
     failure_reports: Vec<FailureReport>,
-    /// When the last answer came.
-    heard: Time,
-    more: bool,
+    /// Time at which the last reply arrived.
+    last_reply: Time,
+    has_more: bool,
 }
 
 impl DirectoryView {
-    /// The question for the next read. Takes the failure reports along.
+    /// Creates the next request, which carries the pending failure reports.
     pub fn next_request(&mut self, reader: u64) -> ChangesRequest {
         ChangesRequest {
             reader,
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Notes that requests to an upstream fail.
+    /// Records a failure report for the next request.
     pub fn report_failure(&mut self, report: FailureReport) {
         if self.failure_reports.len() < MAX_FAILURE_REPORTS
             && !self.failure_reports.contains(&report)
@@ -60,88 +61,90 @@
         }
     }
 
-    /// Takes an answer; `false` if it does not follow on what is held.
+    /// Applies a reply. Returns `false` if the reply does not continue from the
+    /// copy held.
     pub fn apply(&mut self, now: Time, changes: Changes) -> bool {
-        let follows = changes.run == self.run
+        let continues_copy = changes.run == self.run
             && changes.announced >= self.announced
             && changes.version >= self.version;
-        if !changes.reset && !follows {
+        if !changes.reset && !continues_copy {
             return false;
         }
         if changes.reset {
-            let held = std::mem::take(&mut self.lines);
-            self.earlier.get_or_insert(held);
+            let held = std::mem::take(&mut self.entries);
+            self.previous.get_or_insert(held);
             self.run = changes.run;
         }
         for slot in &changes.removed {
-            self.lines.shift_remove(slot);
+            self.entries.shift_remove(slot);
         }
-        for line in changes.full {
-            let told = Told {
-                announcement: line.announcement,
-                load: line.load,
+        for full in changes.full {
+            let entry = ViewEntry {
+                announcement: full.announcement,
+                load: full.load,
             };
-            self.lines.insert(line.slot, told);
+            self.entries.insert(full.slot, entry);
         }
         for (slot, load) in changes.loads {
-            if let Some(told) = self.lines.get_mut(&slot) {
-                told.load = load;
+            if let Some(entry) = self.entries.get_mut(&slot) {
+                entry.load = load;
             }
         }
         if changes.complete && !changes.more {
-            self.earlier = None;
+            self.previous = None;
         }
         self.announced = changes.announced;
         self.version = changes.version;
-        self.more = changes.more;
-        self.heard = now;
+        self.has_more = changes.more;
+        self.last_reply = now;
         true
     }
 
-    /// Whether the last answer was cut short.
+    /// Whether the last reply left changes to be read.
     #[must_use]
     pub const fn has_more(&self) -> bool {
-        self.more
+        self.has_more
     }
 
-    /// Whether the copy is that of a host that knows every live sidecar.
+    /// Whether the copy comes from a host that knows every live sidecar.
     #[must_use]
     pub const fn complete(&self) -> bool {
-        self.earlier.is_none() && self.run != 0
+        self.previous.is_none() && self.run != 0
     }
 
-    /// Every line, as routing takes it.
+    /// Returns all entries in the form that routing uses.
     ///
     /// A load that the host did not send again has not changed, so its age is
-    /// counted from the last answer.
+    /// counted from the last reply.
     #[must_use]
     pub fn entries(&self, now: Time) -> Box<[DirectoryEntry]> {
-        let silence = now.since(self.heard).as_millis();
+        let silence = now.since(self.last_reply).as_millis();
         let silence = u32::try_from(silence).unwrap_or(u32::MAX);
         let mut entries: Vec<_> = self
-            .lines
+            .entries
             .values()
-            .map(|told| told.entry(silence))
+            .map(|entry| entry.to_directory_entry(silence))
             .collect();
-        if let Some(earlier) = &self.earlier {
-            let known: IndexSet<_> = self.lines.values().map(Told::upstream).collect();
-            let kept = earlier
+        if let Some(previous) = &self.previous {
+            let known: IndexSet<_> = self.entries.values().map(ViewEntry::upstream).collect();
+            let kept = previous
                 .values()
-                .filter(|told| !known.contains(&told.upstream()));
-            entries.extend(kept.map(|told| told.entry(silence)));
+                .filter(|entry| !known.contains(&entry.upstream()));
+            entries.extend(kept.map(|entry| entry.to_directory_entry(silence)));
         }
         entries.into()
     }
 }
 
-impl Told {
-    /// Key of the upstream.
+impl ViewEntry {
+    /// Identifier of the upstream.
     fn upstream(&self) -> UpstreamId {
         self.announcement.upstream()
     }
 
-    /// The line as routing takes it.
-    fn entry(&self, silence_ms: u32) -> DirectoryEntry {
+    /// Converts to the form that routing uses, with the age increased by
+    /// `silence_ms`.
+    fn to_directory_entry(&self, silence_ms: u32) -> DirectoryEntry {
         let mut announcement = self.announcement.clone();
         announcement.state = self.load.state;
         announcement.load = self.load.load();
--- a/crates/quay_members/tests/directory.rs
+++ b/crates/quay_members/tests/directory.rs
@@ -1,4 +1,4 @@
-//! Tests of the directory and of its readers.
+//! Directory, readers' copies of it, and heartbeats.
 
 use {
     indexmap::IndexSet,
@@ -13,8 +13,8 @@
     std::net::SocketAddr,
 };
 
-/// Most bytes a second that a daemon may spend on control.
-const CONTROL_BYTES: usize = 21_000;
+/// Maximum control traffic of one daemon, in bytes per second.
+const CONTROL_BYTES_PER_SECOND: usize = 21_000;
 
 fn at(millis: u64) -> Time {
     Time::from_millis(millis)
@@ -46,7 +46,7 @@
     }
 }
 
-fn beat(n: u32, sequence: u64, acked: u64) -> Heartbeat {
+fn heartbeat(n: u32, sequence: u64, acked: u64) -> Heartbeat {
     let announcement = announcement(n, 1, sequence);
     Heartbeat {
         upstream: announcement.upstream(),
@@ -62,7 +62,7 @@
     directory.members(at(millis))[0].suspicion
 }
 
-/// Reads until nothing is missing.
+/// Reads until no changes remain; returns the number of reads.
 fn read(directory: &mut Directory, view: &mut DirectoryView, now: Time) -> usize {
     let mut reads = 0;
     loop {
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn more_than_one_missed_heartbeat_is_suspect_and_a_lapsed_lease_is_gone() {
+fn more_than_one_missed_heartbeat_is_suspect_and_an_expired_lease_removes_the_entry() {
     let mut directory = directory();
     directory.announce(at(0), announcement(1, 1, 1));
     directory.tick(at(1_400));
@@ -87,7 +87,7 @@
         directory.members(at(1_800))[0].state,
         UpstreamState::Failing
     );
-    directory.heartbeat(at(1_900), &beat(1, 2, 1));
+    directory.heartbeat(at(1_900), &heartbeat(1, 2, 1));
     assert_eq!(suspicion(&directory, 1_900), None);
     directory.tick(at(6_899));
     assert_eq!(directory.len(), 1);
@@ -96,20 +96,20 @@
 }
 
 #[test]
-fn a_link_that_is_dead_one_way_is_suspect() {
+fn a_link_that_loses_all_replies_raises_suspicion() {
     let mut directory = directory();
     directory.announce(at(0), announcement(1, 1, 1));
     for n in 2..=4 {
         assert_eq!(suspicion(&directory, 0), None);
-        directory.heartbeat(at(n * 500), &beat(1, n, 0));
+        directory.heartbeat(at(n * 500), &heartbeat(1, n, 0));
     }
     assert_eq!(suspicion(&directory, 2_000), Some(Suspicion::OneWay));
-    directory.heartbeat(at(2_500), &beat(1, 5, 4));
+    directory.heartbeat(at(2_500), &heartbeat(1, 5, 4));
     assert_eq!(suspicion(&directory, 2_500), None);
 }
 
 #[test]
-fn an_upstream_that_answers_heartbeats_only_is_failing() {
+fn an_upstream_that_only_sends_heartbeats_is_failing() {
     let mut directory = directory();
     directory.announce(at(0), announcement(1, 1, 1));
     let report = |reader, incarnation| ChangesRequest {
@@ -122,7 +122,8 @@
             incarnation: Incarnation(incarnation),
         }]),
     };
-    // One reader alone may have a fault of its own.
+    // Reports of a single reader are not enough, since the fault may be the
+    // reader's.
     directory.changes(at(100), &report(1, 1));
     directory.changes(at(200), &report(1, 1));
     directory.changes(at(300), &report(2, 9));
@@ -130,13 +131,13 @@
     let changes = directory.changes(at(400), &report(2, 1));
     assert_eq!(changes.full[0].load.state, UpstreamState::Failing);
     for n in 2..25 {
-        directory.heartbeat(at(n * 500), &beat(1, n, n - 1));
+        directory.heartbeat(at(n * 500), &heartbeat(1, n, n - 1));
     }
     assert_eq!(suspicion(&directory, 12_000), None);
 }
 
 #[test]
-fn word_of_the_past_does_not_bring_an_upstream_back() {
+fn outdated_messages_do_not_restore_an_upstream() {
     let mut directory = directory();
     directory.announce(at(0), announcement(1, 2, 7));
     let late = directory.announce(at(1), announcement(1, 1, 99));
@@ -155,7 +156,7 @@
 }
 
 #[test]
-fn a_drain_mark_outlives_the_sidecar() {
+fn a_drain_mark_survives_a_sidecar_restart() {
     let mut directory = directory();
     directory.set_drained(at(0), [UpstreamId::of("agent-llm-001")].into());
     for incarnation in 1..3 {
@@ -167,7 +168,7 @@
 }
 
 #[test]
-fn a_restarted_host_does_not_take_upstreams_away() {
+fn a_restarted_host_does_not_remove_upstreams_from_views() {
     let mut view = DirectoryView::default();
     let mut old = directory();
     for n in 0..10 {
@@ -179,14 +180,15 @@
     new.announce(at(3_100), announcement(3, 1, 5));
     read(&mut new, &mut view, at(3_200));
     assert_eq!(view.entries(at(3_200)).len(), 10);
-    // Those that have not come after a few heartbeats are gone.
-    new.heartbeat(at(5_000), &beat(3, 6, 5));
+    // Upstreams that have not announced themselves within a few heartbeats are
+    // removed.
+    new.heartbeat(at(5_000), &heartbeat(3, 6, 5));
     read(&mut new, &mut view, at(5_000));
     assert_eq!(view.entries(at(5_000)).len(), 1);
 }
 
 #[test]
-fn a_host_that_lost_its_memory_is_told_everything_again() {
+fn a_restarted_host_receives_the_full_announcement_again() {
     let mut contact = HostContact::default();
     let mut host = directory();
     for sequence in 1..4 {
@@ -212,19 +214,20 @@
 }
 
 #[test]
-fn six_hundred_workers_fit_into_a_readers_share() {
+fn six_hundred_upstreams_fit_into_a_readers_bandwidth_share() {
     let mut directory = directory();
     let mut view = DirectoryView::default();
     for n in 0..600 {
         directory.announce(at(0), announcement(n, 1, 1));
     }
-    // All at once, as after a rack came back: each answer is bounded.
+    // All upstreams announce themselves at once, as after a rack restarts; the
+    // size of each reply is limited.
     let settings = MembersSettings::default();
     loop {
         let changes = directory.changes(at(10), &view.next_request(1));
         let bytes = postcard::to_stdvec(&changes).expect("bytes").len();
-        // Four such answers a second are read at most.
-        assert!(bytes * 4 < CONTROL_BYTES, "{bytes} bytes");
+        // At most four such replies are read per second.
+        assert!(bytes * 4 < CONTROL_BYTES_PER_SECOND, "{bytes} bytes");
         assert!(changes.full.len() <= settings.max_full_entries);
         view.apply(at(10), changes);
         if !view.has_more() {
@@ -233,28 +236,31 @@
     }
     assert_eq!(view.entries(at(10)).len(), 600);
     for n in 0..600 {
-        let mut beat = beat(n, 2, 1);
-        beat.load.backlog += 5_000;
-        beat.load.running += 1;
-        directory.heartbeat(at(1_000), &beat);
+        let mut heartbeat = heartbeat(n, 2, 1);
+        heartbeat.load.backlog += 5_000;
+        heartbeat.load.running += 1;
+        directory.heartbeat(at(1_000), &heartbeat);
     }
     let changes = directory.changes(at(1_000), &view.next_request(1));
     assert_eq!(changes.loads.len(), 600);
     let bytes = postcard::to_stdvec(&changes).expect("bytes").len();
-    assert!(bytes * 2 < CONTROL_BYTES, "{bytes} bytes for all loads");
-    // A load that did not change is not sent again.
+    assert!(
+        bytes * 2 < CONTROL_BYTES_PER_SECOND,
+        "{bytes} bytes for all loads"
+    );
+    // An unchanged load is not sent again.
     for n in 0..600 {
-        let mut beat = beat(n, 3, 2);
-        beat.load.backlog += 5_000;
-        beat.load.running += 1;
-        directory.heartbeat(at(2_000), &beat);
+        let mut heartbeat = heartbeat(n, 3, 2);
+        heartbeat.load.backlog += 5_000;
+        heartbeat.load.running += 1;
+        directory.heartbeat(at(2_000), &heartbeat);
     }
     assert!(view.apply(at(1_000), changes));
     let changes = directory.changes(at(2_000), &view.next_request(1));
     assert!(changes.loads.is_empty() && changes.full.is_empty());
 }
 
-/// What happens to a directory.
+/// An event in the life of a directory.
 #[derive(Debug, Clone)]
 enum Event {
     Announce(u32, u64, u64),
@@ -275,10 +281,11 @@
 }
 
 proptest! {
-    /// Whatever happens, a reader that reads to the end holds exactly the
-    /// host's lines, and runs of a sidecar never go back.
+    /// After any sequence of events, a reader that reads all changes holds
+    /// exactly the host's entries, and the incarnation of a sidecar never
+    /// decreases.
     #[test]
-    fn readers_end_up_with_the_hosts_lines(events in prop::collection::vec(event(), 1..60)) {
+    fn readers_end_up_with_the_hosts_entries(events in prop::collection::vec(event(), 1..60)) {
         let settings = MembersSettings { max_full_entries: 3, max_entries: 4, ..MembersSettings::default() };
         let mut directory = Directory::new(at(0), 1, settings);
         let mut view = DirectoryView::default();
@@ -287,12 +294,12 @@
             let before = directory.members(at(now));
             match event {
                 Event::Announce(n, run, seq) => drop(directory.announce(at(now), announcement(n, run, seq))),
-                Event::Heartbeat(n, seq, acked) => drop(directory.heartbeat(at(now), &beat(n, seq, acked))),
+                Event::Heartbeat(n, seq, acked) => drop(directory.heartbeat(at(now), &heartbeat(n, seq, acked))),
                 Event::Wait(millis) => {
                     now += millis;
                     directory.tick(at(now));
                 }
-                // One read may be cut short, or its answer lost.
+                // A reply may be incomplete or lost.
                 Event::Read(arrives) => {
                     let changes = directory.changes(at(now), &view.next_request(1));
                     if arrives {
@@ -303,8 +310,8 @@
             }
             for old in before {
                 let after = directory.members(at(now));
-                let line = after.iter().find(|line| line.announcement.name == old.announcement.name);
-                prop_assert!(line.is_none_or(|line| line.announcement.incarnation >= old.announcement.incarnation));
+                let entry = after.iter().find(|entry| entry.announcement.name == old.announcement.name);
+                prop_assert!(entry.is_none_or(|entry| entry.announcement.incarnation >= old.announcement.incarnation));
             }
         }
         read(&mut directory, &mut view, at(now));
@@ -312,9 +319,9 @@
             let announcement = &entry.announcement;
             (announcement.name.clone(), announcement.incarnation, announcement.state, announcement.load.queued)
         }).collect();
-        let mut kept: Vec<_> = directory.members(at(now)).iter().map(|line| {
-            let announcement = &line.announcement;
-            (announcement.name.clone(), announcement.incarnation, line.state, announcement.load.queued)
+        let mut kept: Vec<_> = directory.members(at(now)).iter().map(|entry| {
+            let announcement = &entry.announcement;
+            (announcement.name.clone(), announcement.incarnation, entry.state, announcement.load.queued)
         }).collect();
         held.sort_by(|a, b| a.0.cmp(&b.0));
         kept.sort_by(|a, b| a.0.cmp(&b.0));
@@ -322,7 +329,7 @@
     }
 
     #[test]
-    fn bytes_from_outside_do_not_panic(bytes: Vec<u8>) {
+    fn malformed_bytes_do_not_panic(bytes: Vec<u8>) {
         if let Ok(req) = postcard::from_bytes::<MembersRequest>(&bytes) {
             directory().handle(at(1), req);
         }
--- a/crates/quay_members/tests/pacer.rs
+++ b/crates/quay_members/tests/pacer.rs
@@ -1,4 +1,4 @@
-//! Tests of spread rounds.
+//! Bounds of the waits between rounds.
 
 use {proptest::prelude::*, quay_members::Pacer, std::time::Duration};
 
@@ -8,15 +8,15 @@
         let interval = Duration::from_millis(500);
         let mut pacer = Pacer::new(interval);
         prop_assert!(pacer.next_wait(0.999) <= interval);
-        for (well, random) in rounds {
-            pacer.record_outcome(well);
+        for (succeeded, random) in rounds {
+            pacer.record_outcome(succeeded);
             let wait = pacer.next_wait(random);
-            let (least, most) = if well {
+            let (min, max) = if succeeded {
                 (interval.mul_f64(0.9), interval.mul_f64(1.1))
             } else {
                 (interval / 2, interval * 4)
             };
-            prop_assert!(wait >= least && wait <= most, "{:?}", wait);
+            prop_assert!(wait >= min && wait <= max, "{:?}", wait);
         }
     }
 }
