--- a/crates/quay_types/examples/byte_coding.rs
+++ b/crates/quay_types/examples/byte_coding.rs
@@ -1,25 +1,26 @@
-//! Time to encode and decode bytes in one piece and as a sequence, side by side.
+//! Measures the time to encode and decode a byte string with one copy and as a
+//! sequence of `u8`.
 
 use {
     serde::{Deserialize, Serialize, de::DeserializeOwned},
     std::time::Instant,
 };
 
-/// Bytes of one value.
+/// Size of one value, in bytes.
 const BYTES: usize = 512;
 
-/// Values that are measured at a time.
+/// Values encoded and decoded per measurement.
 const ROUNDS: u32 = 200_000;
 
-/// Bytes in one piece.
+/// Byte string that is encoded with one copy.
 #[derive(Serialize, Deserialize)]
 struct Whole(#[serde(with = "quay_types::bytes")] Box<[u8]>);
 
-/// Bytes as a sequence.
+/// Byte string that is encoded as a sequence of `u8`.
 #[derive(Serialize, Deserialize)]
 struct Sequence(Box<[u8]>);
 
-/// Nanoseconds to encode and decode one value.
+/// Mean time to encode and decode one value, in nanoseconds.
 fn measure<T: Serialize + DeserializeOwned>(value: &T) -> Result<u128, postcard::Error> {
     let started = Instant::now();
     for _ in 0..ROUNDS {
--- a/crates/quay_types/src/call.rs
+++ b/crates/quay_types/src/call.rs
@@ -8,7 +8,7 @@
     serde::{Deserialize, Serialize},
 };
 
-/// What a call is for.
+/// Kind of upstream that a call addresses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CallTarget {
     /// A completion by a model.
@@ -17,107 +17,112 @@
     Service(ServiceId),
 }
 
-/// One attempt of a call, as an entry hands it to a sidecar.
+/// One attempt of a call, as an entry sends it to a sidecar.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallRequest {
-    /// Leave of the ledger; `None` only where the settings run without one.
+    /// Permit issued by the ledger; `None` only if the system is configured
+    /// without a ledger.
     pub permit: Option<Permit>,
-    /// Sidecar run that the entry means; every other run refuses the call.
+    /// Incarnation of the sidecar that the request is addressed to; any other
+    /// incarnation refuses the call.
     pub incarnation: Incarnation,
     /// Program that the call belongs to.
     pub program: ProgramId,
-    /// Account that pays.
+    /// Account that is charged.
     pub account: AccountId,
-    /// What to run.
+    /// Model or service to call.
     pub target: CallTarget,
     /// HTTP body for the upstream.
     pub body: Box<[u8]>,
-    /// Whether the upstream may see the request more than once.
+    /// Whether the upstream may receive the request more than once.
     pub idempotent: bool,
-    /// Milliseconds left until the caller's deadline, when sent.
+    /// Milliseconds left until the caller's deadline, at the time of sending.
     pub deadline_ms: u64,
-    /// Estimate of the prompt's length.
+    /// Estimated length of the prompt.
     pub prompt: Tokens,
-    /// Most tokens that the answer may have.
+    /// Maximum length of the answer.
     pub max_output: Tokens,
-    /// Tokens that the whole program has been given so far, for priority.
+    /// Attained service: tokens that the whole program has used so far. The
+    /// scheduler derives the call's priority from it.
     pub attained: Tokens,
-    /// Depth below the root program; a sub-agent blocks its parent.
+    /// Depth of the program below its root, for priority: a parent waits for
+    /// its sub-agents.
     pub depth: u8,
     /// Chained hashes of the prompt's blocks.
     pub blocks: Box<[u64]>,
-    /// Bytes of the answer that the caller has already; the stream goes on there.
+    /// Offset in bytes at which the answer's stream resumes: the caller has
+    /// received everything before.
     pub resume_offset: u64,
 }
 
 /// First message on a stream from an entry to a sidecar.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SidecarRequest {
-    /// Run an attempt; answered by a stream of [`CallEvent`]s.
+    /// Runs an attempt; answered by a stream of [`CallEvent`]s.
     Call(CallRequest),
-    /// Ask about a permit. One that was never used is marked as refused.
-    /// Answered by [`CallEvent::PermitStatus`].
+    /// Queries the status of a permit and marks a permit that was never used
+    /// as refused. Answered by [`CallEvent::PermitStatus`].
     QueryPermit(PermitId, Incarnation),
-    /// A program has ended; release what the upstream holds for it.
+    /// Reports the end of a program, so that the upstream releases its state.
     ProgramEnded(ProgramId),
 }
 
 /// Second message on the stream of a call that may not run twice: the entry's
-/// answer to [`CallEvent::Ready`], without which the sidecar does not run it.
+/// answer to [`CallEvent::Ready`]. The sidecar does not start the call before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Proceed {
     /// Permit of the attempt.
     pub permit: PermitId,
 }
 
-/// Why an answer ended.
+/// Reason for which an answer ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FinishReason {
-    /// The model stopped by itself.
+    /// The model ended the answer.
     Stop,
-    /// The answer reached its limit of tokens.
+    /// The answer reached its token limit.
     Length,
 }
 
-/// An event of one attempt, from a sidecar to an entry.
+/// Event of one attempt, sent by a sidecar to an entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CallEvent {
-    /// The attempt left the queue and runs once the entry sends [`Proceed`].
+    /// The attempt left the queue and starts once the entry sends [`Proceed`].
     Ready,
-    /// The attempt left the queue and was handed to the upstream.
+    /// The attempt left the queue and was sent to the upstream.
     Started,
     /// Part of the answer.
     Delta {
-        /// Position of the text in the answer, in bytes.
+        /// Offset of the text in the answer, in bytes.
         offset: u64,
-        /// Tokens in the text.
+        /// Number of tokens in the text.
         tokens: u32,
         /// The text.
         text: Box<str>,
     },
-    /// The whole answer of a plain service.
+    /// Complete answer of a plain service.
     Body {
-        /// HTTP status of the service.
+        /// HTTP status that the service returned.
         status: u16,
-        /// The body.
+        /// HTTP body.
         body: Box<[u8]>,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     End {
-        /// Why it ended.
+        /// Reason for which the answer ended.
         finish: FinishReason,
-        /// Prompt tokens that the upstream counted.
+        /// Prompt tokens as counted by the upstream.
         prompt: Tokens,
         /// Prompt tokens found in the upstream's prefix cache.
         cached: Tokens,
         /// Tokens generated.
         output: Tokens,
     },
-    /// The attempt never ran, and never will: the permit is marked as refused.
+    /// The attempt did not run and never will: its permit is marked as refused.
     Refused(Error),
     /// The attempt ran and failed, or may have run.
     Failed(Error),
-    /// Nothing to say; the attempt is alive.
+    /// The attempt is alive but has no new output.
     Heartbeat,
     /// Answer to [`SidecarRequest::QueryPermit`].
     PermitStatus(PermitStatus),
--- a/crates/quay_types/src/digest.rs
+++ b/crates/quay_types/src/digest.rs
@@ -6,17 +6,17 @@
     std::fmt,
 };
 
-/// The first 16 bytes of a SHA-256 over a request's content.
+/// First 16 bytes of the SHA-256 of a request's content.
 ///
-/// Two requests with equal digests are the same request to quarantine, even
-/// when their keys differ.
+/// The quarantine treats requests with equal digests as the same request, even
+/// if their keys differ.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct ContentDigest([u8; 16]);
 
 impl ContentDigest {
-    /// Digests `parts`; each part is framed by its length, so that moving a
+    /// Hashes `parts`. Each part is prefixed with its length, so that moving a
     /// byte from one part to the next changes the digest.
     #[must_use]
     pub fn of(parts: &[&[u8]]) -> Self {
@@ -31,19 +31,19 @@
         Self(short)
     }
 
-    /// The digest of nothing, which no content has.
+    /// All-zero digest; starts a hash chain and is the digest of no content.
     pub const ZERO: Self = Self([0; 16]);
 
-    /// The digest as a number, for use as a key.
+    /// Digest as a big-endian integer, for use as a key.
     #[must_use]
     pub const fn to_u128(self) -> u128 {
         u128::from_be_bytes(self.0)
     }
 
-    /// The first eight bytes as a number.
+    /// First eight bytes as a big-endian integer.
     #[must_use]
     pub const fn to_u64(self) -> u64 {
-        #[allow(clippy::cast_possible_truncation)] // The upper half is what is wanted.
+        #[allow(clippy::cast_possible_truncation)] // Only the upper half is needed.
         let upper = (self.to_u128() >> 64) as u64;
         upper
     }
@@ -55,13 +55,14 @@
     }
 }
 
-/// Bytes of prompt text in one block of the prefix cache: 64 tokens of 4 bytes.
+/// Bytes of prompt text per prefix cache block: 64 tokens of 4 bytes.
 const BLOCK_BYTES: usize = 256;
 
-/// Chained hashes of the whole blocks of a prompt.
+/// Chained hashes of the complete blocks of a prompt.
 ///
-/// Hash `n` covers blocks `0..=n`, so two prompts share a prefix of exactly as
-/// many blocks as they share leading hashes. A last part block has no hash.
+/// Hash `n` covers blocks `0..=n`, so the number of leading hashes that two
+/// prompts share is the number of blocks in their common prefix. A partial
+/// last block has no hash.
 #[must_use]
 pub fn block_hashes(prompt: &[u8]) -> Box<[u64]> {
     let mut previous = 0u64;
@@ -74,7 +75,7 @@
         .collect()
 }
 
-/// FNV-1a over `block`, seeded by the hash of the blocks before it.
+/// FNV-1a hash of `block`, seeded with the hash of the preceding blocks.
 fn chain(previous: u64, block: &[u8]) -> u64 {
     const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0000_0100_0000_01b3;
--- a/crates/quay_types/src/directory.rs
+++ b/crates/quay_types/src/directory.rs
@@ -1,4 +1,4 @@
-//! Messages that announce upstreams and tell daemons of them.
+//! Messages that announce upstreams and distribute the directory to daemons.
 
 use {
     crate::{Incarnation, ModelId, ServiceId, UpstreamId},
@@ -6,84 +6,85 @@
     std::net::SocketAddr,
 };
 
-/// What an upstream serves.
+/// Kind of an upstream, with the models or the service it serves.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UpstreamKind {
-    /// A model engine.
+    /// Inference engine.
     Engine {
-        /// Models that are loaded.
+        /// Loaded models.
         models: Box<[ModelId]>,
     },
-    /// A plain service.
+    /// Plain service.
     Service {
-        /// The service.
+        /// Service that the upstream provides.
         service: ServiceId,
     },
 }
 
-/// Whether an upstream takes new work.
+/// Whether an upstream accepts new calls.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UpstreamState {
-    /// Takes new work.
+    /// Accepts new calls.
     #[default]
     Serving,
-    /// Finishes what it has and takes nothing new.
+    /// Finishes its accepted calls and rejects new ones.
     Draining,
-    /// Its requests fail or time out although its sidecar is alive.
+    /// The sidecar is alive, but requests to the upstream fail or time out.
     Failing,
 }
 
-/// Load of an upstream as its sidecar reports it.
+/// Load of an upstream as reported by its sidecar.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
     /// Calls in the sidecar's queue.
     pub queued: u32,
-    /// Calls on the upstream.
+    /// Calls running on the upstream.
     pub running: u32,
-    /// Prompt tokens still to prefill, queued or running.
+    /// Prompt tokens not yet prefilled, of queued and running calls.
     pub backlog: u64,
-    /// KV memory in use, in thousandths.
+    /// KV cache memory in use, in thousandths.
     pub kv_permille: u16,
-    /// Recent time between tokens, in microseconds.
+    /// Recent inter-token latency, in microseconds.
     pub token_gap_us: u32,
-    /// Age of the engine's own report when this one was made, in milliseconds.
+    /// Age in milliseconds of the engine's load figures when the sidecar made
+    /// this report.
     pub age_ms: u32,
 }
 
-/// What a sidecar says of its upstream, at each heartbeat.
+/// State of an upstream, announced by its sidecar with each heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
     /// Name of the upstream.
     pub name: Box<str>,
-    /// Run of the sidecar.
+    /// Incarnation of the sidecar.
     pub incarnation: Incarnation,
-    /// Rises with each announcement of one incarnation.
+    /// Increases with each announcement of one incarnation.
     pub sequence: u64,
-    /// Address that entries reach the sidecar at.
+    /// Address at which entries reach the sidecar.
     pub addr: SocketAddr,
-    /// Data centre that the upstream is in.
+    /// Data centre in which the upstream runs.
     pub data_centre: Box<str>,
-    /// What it serves.
+    /// Kind of the upstream and what it serves.
     pub kind: UpstreamKind,
-    /// Whether it takes new work.
+    /// Whether the upstream accepts new calls.
     pub state: UpstreamState,
-    /// Its load.
+    /// Load of the upstream.
     pub load: Load,
 }
 
 impl Announcement {
-    /// Key of the upstream.
+    /// Id of the announced upstream.
     #[must_use]
     pub fn upstream(&self) -> UpstreamId {
         UpstreamId::of(&self.name)
     }
 }
 
-/// One line of the directory.
+/// Entry of the directory of upstreams.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DirectoryEntry {
-    /// Latest announcement.
+    /// Latest announcement of the upstream.
     pub announcement: Announcement,
-    /// Age of the announcement when the line was sent, in milliseconds.
+    /// Age of the announcement when the entry was sent, in milliseconds.
     pub age_ms: u32,
 }
--- a/crates/quay_types/src/error.rs
+++ b/crates/quay_types/src/error.rs
@@ -1,28 +1,28 @@
-//! The closed list of error kinds and the table from kind to answer.
+//! Error kinds, and the table that maps each kind to an HTTP answer.
 
 use {
     serde::{Deserialize, Serialize},
     std::{fmt, time::Duration},
 };
 
-/// A result whose error is [`Error`].
+/// Result with [`Error`] as its error type.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Declares [`ErrorKind`] and its table in one place, so that no kind can be
+/// Declares [`ErrorKind`] together with its table, so that no kind can be
 /// added without its answer.
 macro_rules! error_kinds {
     ($( $(#[$doc:meta])* $kind:ident => $name:literal, $status:literal, $not_run:literal, $retry:expr; )*) => {
-        /// Every way in which a request can fail.
+        /// Kind of failure of a request.
         #[derive(
             Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
         )]
         pub enum ErrorKind { $( $(#[$doc])* $kind, )* }
 
         impl ErrorKind {
-            /// Every kind, in the order of the table.
+            /// All kinds, in the order of the table.
             pub const ALL: &[Self] = &[ $( Self::$kind, )* ];
 
-            /// The name that callers see in `error.kind`.
+            /// Name that callers receive in `error.kind`.
             #[must_use]
             pub const fn name(self) -> &'static str {
                 match self { $( Self::$kind => $name, )* }
@@ -34,13 +34,14 @@
                 match self { $( Self::$kind => $status, )* }
             }
 
-            /// Whether the kind promises that the request never ran.
+            /// Whether the kind guarantees that the request did not run.
             #[must_use]
             pub const fn not_run(self) -> bool {
                 match self { $( Self::$kind => $not_run, )* }
             }
 
-            /// Default of `Retry-After` in seconds; `None` if a resend can't help.
+            /// Default `Retry-After` in seconds; `None` if a resend would fail
+            /// again.
             #[must_use]
             pub const fn retry_after_s(self) -> Option<u32> {
                 match self { $( Self::$kind => $retry, )* }
@@ -54,59 +55,61 @@
     BadRequest => "bad_request", 400, true, None;
     /// The key is missing or unknown.
     Unauthorized => "unauthorized", 401, true, None;
-    /// The program belongs to another account, or the key's role may not do this.
+    /// The program belongs to another account, or the role of the API key does
+    /// not allow the operation.
     Forbidden => "forbidden", 403, true, None;
-    /// No such path, program or service.
+    /// The path, program or service does not exist.
     NotFound => "not_found", 404, true, None;
     /// No configured model has this name.
     UnknownModel => "unknown_model", 404, true, None;
-    /// The method does not fit the path.
+    /// The path does not support the HTTP method.
     MethodNotAllowed => "method_not_allowed", 405, true, None;
     /// The caller sent its request too slowly.
     RequestTimeout => "request_timeout", 408, true, Some(1);
     /// The body is larger than the limit.
     TooLarge => "too_large", 413, true, None;
-    /// The idempotency key or call number was used before for other content.
+    /// The idempotency key or call number was used before with other content.
     Conflict => "conflict", 409, true, None;
-    /// The call before this one did not end within the bound.
+    /// The preceding call did not end within the time limit.
     PredecessorOpen => "predecessor_open", 409, true, Some(1);
     /// The program has ended.
     ProgramEnded => "program_ended", 410, true, None;
     /// The program's budget does not cover the call.
     BudgetExceeded => "budget_exceeded", 402, true, None;
-    /// The program reached its limit of turns, time, depth or sub-agents.
+    /// The program reached its limit on turns, lifetime, depth or sub-agents.
     ProgramLimit => "program_limit", 403, true, None;
-    /// The account is over its rate or its share of concurrent calls.
+    /// The account exceeded its rate limit or its share of concurrent calls.
     AccountLimit => "account_limit", 429, true, Some(1);
     /// The content is quarantined because upstreams crashed while running it.
     Quarantined => "quarantined", 422, true, Some(600);
-    /// Every fitting upstream is full.
+    /// All suitable upstreams are at capacity.
     Overloaded => "overloaded", 503, true, Some(2);
-    /// No fitting upstream is announced.
+    /// No suitable upstream is announced.
     NoUpstream => "no_upstream", 503, true, Some(2);
-    /// This process is leaving; another one can take the request.
+    /// This process is shutting down; another one can serve the request.
     Draining => "draining", 503, true, Some(0);
-    /// The ledger group has no quorum, and the call had no permit yet.
+    /// The ledger group has no quorum, and no permit was issued for the call.
     LedgerUnavailable => "ledger_unavailable", 503, true, Some(2);
-    /// The ledger does not answer, and an earlier send of this key may have run.
+    /// The ledger does not answer, and an earlier send with the same key may
+    /// have run.
     LedgerUnreachable => "ledger_unreachable", 503, false, Some(2);
-    /// This entry's configuration is too old to act on.
+    /// The configuration of this entry is out of date.
     ConfigStale => "config_stale", 503, true, Some(1);
     /// The upstream refused the permit before the request ran.
     PermitRefused => "permit_refused", 503, true, Some(0);
-    /// The deadline passed before the request was handed to an upstream.
+    /// The deadline passed before the request was sent to an upstream.
     DeadlineNotRun => "deadline_not_run", 504, true, None;
     /// The caller or its program cancelled the call.
     Cancelled => "cancelled", 499, false, None;
-    /// The upstream answered with an error of its own.
+    /// The upstream answered with an error.
     UpstreamError => "upstream_error", 502, false, None;
-    /// Idempotent attempts were used up.
+    /// An attempt of an idempotent call was lost, and no further one is possible.
     UpstreamLost => "upstream_lost", 502, false, Some(1);
     /// The deadline passed while the request ran.
     DeadlineExceeded => "deadline_exceeded", 504, false, None;
     /// The request may or may not have run; it is never run again.
     OutcomeUnknown => "outcome_unknown", 502, false, None;
-    /// A fault of this system.
+    /// Internal error of this system.
     Internal => "internal", 500, false, None;
 }
 
@@ -116,22 +119,23 @@
     }
 }
 
-/// An error on its way to a caller.
+/// Error that is returned to a caller.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Error {
-    /// Row of the table that decides status, `not_run` and `Retry-After`.
+    /// Kind, which determines the status, `not_run` and the default of
+    /// `Retry-After`.
     pub kind: ErrorKind,
-    /// What went wrong, for a person.
+    /// Human-readable description.
     pub message: Box<str>,
-    /// Overrides the kind's default when something better is known.
+    /// Overrides the default `Retry-After` of the kind.
     pub retry_after: Option<Duration>,
-    /// Whether an earlier send of the same request may have run; nobody then
-    /// promises that it did not, whatever the kind says of this send.
+    /// Whether an earlier send of the same request may have run. If so, the
+    /// answer does not claim `not_run`, even if the kind does for this send.
     pub may_have_run: bool,
 }
 
 impl Error {
-    /// An error of `kind` with the kind's own `Retry-After`.
+    /// Creates an error with the default `Retry-After` of `kind`.
     #[must_use]
     pub fn new(kind: ErrorKind, message: impl Into<Box<str>>) -> Self {
         Self {
@@ -142,7 +146,7 @@
         }
     }
 
-    /// Sets when a resend is worthwhile.
+    /// Overrides `Retry-After`.
     #[must_use]
     pub fn with_retry_after(self, span: Duration) -> Self {
         Self {
@@ -151,7 +155,7 @@
         }
     }
 
-    /// Notes that an earlier send of the same request may have run.
+    /// Marks that an earlier send of the same request may have run.
     #[must_use]
     pub fn with_may_have_run(self) -> Self {
         Self {
@@ -160,7 +164,7 @@
         }
     }
 
-    /// Whether the request truly never ran, by no send of it.
+    /// Whether it is certain that no send of the request ran.
     #[must_use]
     pub const fn not_run(&self) -> bool {
         self.kind.not_run() && !self.may_have_run
--- a/crates/quay_types/src/ids.rs
+++ b/crates/quay_types/src/ids.rs
@@ -1,4 +1,4 @@
-//! Small `Copy` keys for everything that has an identity.
+//! Identifiers: small `Copy` types for programs, accounts, upstreams and more.
 
 use {
     crate::ContentDigest,
@@ -6,7 +6,7 @@
     std::{fmt, num::ParseIntError, str::FromStr},
 };
 
-/// Declares a number with an identity of its own.
+/// Declares a newtype over an integer.
 macro_rules! number_key {
     ($(#[$doc:meta])* $name:ident($repr:ty), $prefix:literal) => {
         $(#[$doc])*
@@ -23,7 +23,7 @@
     };
 }
 
-/// Declares a key that is derived from a configured name.
+/// Declares an id that is the hash of a name.
 macro_rules! name_key {
     ($(#[$doc:meta])* $name:ident, $domain:literal) => {
         $(#[$doc])*
@@ -33,7 +33,8 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// The key of `name`: the same in every process, with no table.
+            /// Id of `name`. The id is a hash, so all processes derive the same
+            /// id without sharing a table.
             #[must_use]
             pub fn of(name: &str) -> Self {
                 Self(ContentDigest::of(&[$domain, name.as_bytes()]).to_u64())
@@ -49,32 +50,32 @@
 }
 
 name_key!(
-    /// An account of a caller, by its configured name.
+    /// Client account, by its configured name.
     AccountId, b"account"
 );
 name_key!(
-    /// A model that upstreams serve, by its configured name.
+    /// Model that upstreams serve, by its configured name.
     ModelId, b"model"
 );
 name_key!(
-    /// A plain service, by its configured name.
+    /// Plain service, by its configured name.
     ServiceId, b"service"
 );
 name_key!(
-    /// An upstream, by the name that its sidecar announces.
+    /// Upstream, by the name that its sidecar announces.
     UpstreamId, b"upstream"
 );
 
 name_key!(
-    /// A kept turn, by the number that its caller gave it.
+    /// Stored turn, by the number that its caller assigned.
     TurnId, b"turn"
 );
 name_key!(
-    /// A program whose budget is kept, by the name that its caller gave it.
+    /// Program with a stored budget, by the name that its caller assigned.
     ProgramTag, b"program"
 );
 name_key!(
-    /// One attempt of a caller, by the number that the caller gave it.
+    /// Attempt of a caller, by the number that the caller assigned.
     AttemptTag, b"attempt"
 );
 
@@ -83,23 +84,24 @@
     CallNumber(u32), ""
 );
 number_key!(
-    /// How often a call has been handed to an upstream, counted from 1.
+    /// Number of an attempt of a call. The ledger counts the attempts of a call
+    /// from 0.
     Attempt(u32), ""
 );
 number_key!(
-    /// A count of model tokens.
+    /// Number of model tokens.
     Tokens(u64), ""
 );
 number_key!(
-    /// One replicated group of the ledger.
+    /// Replicated group of the ledger.
     GroupId(u16), "g"
 );
 number_key!(
-    /// A replica's identity; a replica that lost its disk gets a new one.
+    /// Id of a replica; a replica that lost its disk gets a new id.
     NodeId(u64), "n"
 );
 number_key!(
-    /// A leader's term within a ledger group.
+    /// Term of a leader within a ledger group.
     Epoch(u64), ""
 );
 number_key!(
@@ -107,22 +109,22 @@
     LogIndex(u64), ""
 );
 number_key!(
-    /// Version of the configuration in force; only rises.
+    /// Version of the configuration in force; never decreases.
     ConfigIndex(u64), ""
 );
 number_key!(
-    /// Rising number that orders to an upstream carry.
+    /// Fencing token of the orders to an upstream; increases with each order.
     FenceNumber(u64), ""
 );
 number_key!(
-    /// One run of a sidecar process; a later run has a greater number.
+    /// Number of one run of a sidecar process; increases with each restart.
     Incarnation(u64), ""
 );
 
-/// A program, and whether it is a sub-agent of another.
+/// Id of a root program or of a sub-agent.
 ///
-/// Sub-agents share their root's number, so that the ledger group of a whole
-/// tree follows from any of its ids.
+/// Sub-agents carry the number of their root, so that the ledger group of a
+/// program tree can be computed from any id in it.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -134,13 +136,13 @@
 }
 
 impl ProgramId {
-    /// The id of a root program.
+    /// Id of a root program.
     #[must_use]
     pub const fn root(root: u64) -> Self {
         Self { root, branch: 0 }
     }
 
-    /// The id of sub-agent number `branch` of the same root.
+    /// Id of sub-agent number `branch` below the same root.
     #[must_use]
     pub const fn sub_agent(self, branch: u32) -> Self {
         Self {
@@ -155,7 +157,7 @@
         self.branch == 0
     }
 
-    /// The ledger group that holds the whole tree, of `groups` groups.
+    /// Ledger group, out of `groups` groups, that holds the program tree.
     #[must_use]
     pub fn group(self, groups: u16) -> GroupId {
         let slot = self.root % u64::from(groups.max(1));
@@ -173,20 +175,20 @@
     }
 }
 
-/// Why a text is not a program id.
+/// Error of parsing a program id.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ParseProgramIdError {
     /// The text does not start with `p-`.
     Prefix,
-    /// A number in the text is malformed.
+    /// One of the numbers is malformed.
     Number(ParseIntError),
 }
 
 impl fmt::Display for ParseProgramIdError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Prefix => f.write_str("a program id starts with \"p-\""),
-            Self::Number(err) => write!(f, "program id: {err}"),
+            Self::Prefix => f.write_str("invalid program id: missing prefix \"p-\""),
+            Self::Number(err) => write!(f, "invalid program id: {err}"),
         }
     }
 }
@@ -206,14 +208,15 @@
     }
 }
 
-/// Identity of a request across resends: the account and its idempotency key.
+/// Identity of a request across resends: a hash of the account and the
+/// idempotency key.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct RequestKey(pub u128);
 
 impl RequestKey {
-    /// The key of an account's `Idempotency-Key` header.
+    /// Key of a request by its account and its `Idempotency-Key` header.
     #[must_use]
     pub fn of(account: AccountId, header: &str) -> Self {
         let parts: [&[u8]; 3] = [b"request", &account.0.to_le_bytes(), header.as_bytes()];
--- a/crates/quay_types/src/ledger.rs
+++ b/crates/quay_types/src/ledger.rs
@@ -1,4 +1,4 @@
-//! Messages between an entry or a sidecar and the ledger.
+//! Messages that entries and sidecars exchange with the ledger.
 
 use {
     crate::{
@@ -9,18 +9,18 @@
     std::net::SocketAddr,
 };
 
-/// Bounds that end a program which loops.
+/// Limits of a program, which also end a program stuck in a loop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProgramLimits {
-    /// Tokens that the program and its sub-agents may use.
+    /// Tokens that the program and its sub-agents may use together.
     pub budget: Tokens,
-    /// Calls that the program may make.
+    /// Maximum number of calls of the program.
     pub turns: u32,
-    /// Seconds from creation to the end at the latest.
+    /// Seconds after creation at which the program ends.
     pub lifetime_s: u32,
-    /// Sub-agents below one root, in all.
+    /// Maximum number of sub-agents in the tree below one root.
     pub sub_agents: u32,
-    /// Levels of sub-agents below the root.
+    /// Maximum number of levels of sub-agents below the root.
     pub depth: u8,
 }
 
@@ -36,130 +36,132 @@
     }
 }
 
-/// Creates a program.
+/// Request to create a program.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NewProgram {
-    /// Account that owns it.
+    /// Account that owns the program.
     pub account: AccountId,
-    /// Key of the request that creates it, so that a resend gets the same id.
+    /// Key of the creating request, so that a resend gets the same id.
     pub key: RequestKey,
-    /// Id of a root; for a sub-agent the parent's id.
+    /// Id of the new root program, or the parent's id for a sub-agent.
     pub program: ProgramId,
-    /// Whether `program` is the parent of the program to create.
+    /// Whether to create a sub-agent of `program`.
     pub sub_agent: bool,
-    /// Limits; a sub-agent's budget is carved from its parent's.
+    /// Limits; the budget of a sub-agent is reserved in its parent's budget.
     pub limits: ProgramLimits,
 }
 
-/// Asks for leave to run a call.
+/// Request for a permit to run a call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Begin {
     /// Program of the call.
     pub program: ProgramId,
-    /// Account that asks.
+    /// Account that makes the call.
     pub account: AccountId,
-    /// Limits to create the program with, for a call that is a program of its own.
+    /// Limits of the program to create for a standalone call; `None` for a call
+    /// of an existing program.
     pub implicit: Option<ProgramLimits>,
-    /// Position of the call; `None` takes the next one.
+    /// Position of the call; `None` takes the next position.
     pub number: Option<CallNumber>,
     /// Identity of the call across resends.
     pub key: RequestKey,
-    /// Digest of its content.
+    /// Digest of the call's content.
     pub digest: ContentDigest,
-    /// Tokens to reserve: prompt and most output.
+    /// Tokens to reserve: prompt plus maximum output.
     pub reserve: Tokens,
     /// Whether the call may run more than once.
     pub idempotent: bool,
-    /// Upstream that the entry chose, and the run of its sidecar.
+    /// Upstream selected by the entry, and the incarnation of its sidecar.
     pub upstream: (UpstreamId, Incarnation),
-    /// Configuration that the entry acts on.
+    /// Version of the configuration that the entry uses.
     pub config: ConfigIndex,
-    /// New part of the prompt, kept in the program's history.
+    /// New part of the prompt, to be stored in the program's history.
     pub prompt: Box<[u8]>,
 }
 
 /// Answer to a [`Begin`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BeginReply {
-    /// Run the call under this permit.
+    /// The call may run under this permit.
     Granted {
-        /// The permit.
+        /// Permit for the next attempt.
         permit: Permit,
-        /// Position that the call was given.
+        /// Position assigned to the call.
         number: CallNumber,
-        /// Tokens used by the program so far.
+        /// Attained service: tokens that the program has used so far.
         attained: Tokens,
-        /// Whether the call may run more than once, as its first send said.
+        /// Whether the call may run more than once, as stated by its first
+        /// send.
         idempotent: bool,
     },
-    /// An earlier call is open; ask again after the given milliseconds.
+    /// The call cannot start yet; ask again after the given milliseconds.
     Wait(u32),
-    /// The call ended before; this is its outcome.
+    /// Recorded outcome of a call that has already ended.
     Replay(Outcome),
-    /// An attempt runs under this permit; ask its sidecar.
+    /// An attempt is running under this permit; query its sidecar.
     Running(Permit),
     /// The call may not run.
     Refused(Error),
 }
 
-/// Closes an attempt.
+/// Request to record the end of an attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Settle {
     /// Program of the call.
     pub program: ProgramId,
     /// Permit of the attempt.
     pub permit: Permit,
-    /// How the attempt ended.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
 }
 
-/// One call of a program's history.
+/// Call in the history of a program.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallRecord {
     /// Position of the call.
     pub number: CallNumber,
-    /// New part of its prompt.
+    /// New part of the call's prompt.
     pub prompt: Box<[u8]>,
-    /// How it ended; `None` while it is open.
+    /// Outcome of the call; `None` while the call is open.
     pub outcome: Option<Outcome>,
 }
 
-/// What the ledger tells of a program.
+/// State and history of a program.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProgramStatus {
-    /// The program.
+    /// Id of the program.
     pub program: ProgramId,
-    /// Account that owns it.
+    /// Account that owns the program.
     pub account: AccountId,
-    /// Its limits.
+    /// Limits of the program.
     pub limits: ProgramLimits,
     /// Tokens used.
     pub used: Tokens,
-    /// Tokens reserved by open calls and grants to sub-agents.
+    /// Tokens reserved for open or lost attempts and for sub-agents.
     pub reserved: Tokens,
-    /// Whether it has ended.
+    /// Whether the program has ended.
     pub ended: bool,
-    /// Its calls, in order.
+    /// Calls of the program, in order.
     pub calls: Box<[CallRecord]>,
 }
 
 /// First message on a stream to a ledger host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LedgerRequest {
-    /// Create a program.
+    /// Creates a program.
     Create(NewProgram),
-    /// Ask for leave to run a call.
+    /// Requests a permit to run a call.
     Begin(Begin),
-    /// Close an attempt.
+    /// Records the end of an attempt.
     Settle(Settle),
-    /// The caller was told that the call of this key ended without a whole
-    /// answer; later calls need not wait for it.
+    /// Reports that the caller was told that the call with this key ended
+    /// without a complete answer, so that later calls need not wait for it.
     GiveUp(ProgramId, RequestKey),
-    /// End a program.
+    /// Ends a program.
     End(ProgramId, AccountId),
-    /// Tell a program's state and history, confirmed by a quorum.
+    /// Reads the state and history of a program, confirmed by a quorum.
     Show(ProgramId, AccountId),
-    /// Which of these programs have ended; a sidecar's sweep.
+    /// Asks which of these programs have ended; sent periodically by sidecars.
     Ended(Box<[ProgramId]>),
 }
 
@@ -170,18 +172,18 @@
     Created(ProgramId),
     /// Answer to `Begin`.
     Begin(BeginReply),
-    /// The settlement or end is durable.
+    /// The change is durable.
     Done,
-    /// The call was closed before with this outcome, which stands.
+    /// The call already has this outcome, which is final.
     Superseded(Outcome),
     /// Answer to `Show`.
     Program(Box<ProgramStatus>),
-    /// Answer to `Ended`: those that have.
+    /// Answer to `Ended`: the programs that have ended.
     Ended(Box<[ProgramId]>),
-    /// The request was proposed and may yet be carried out; send it again.
+    /// The request was proposed and may still commit; send it again.
     Unknown,
     /// Another replica leads the group; its address, if known.
     Redirect(Option<SocketAddr>),
-    /// The request was not carried out.
+    /// The request was rejected and changed nothing.
     Refused(Error),
 }
--- a/crates/quay_types/src/lib.rs
+++ b/crates/quay_types/src/lib.rs
@@ -1,6 +1,7 @@
-//! Keys, units, error kinds and messages that every sapphirequay package shares.
+//! Identifiers, units, error kinds and messages shared by all sapphirequay
+//! packages.
 //!
-//! Nothing here does I/O, reads a clock or draws a random number.
+//! This package does no I/O, reads no clock and uses no random numbers.
 //!
 //! ```
 //! use quay_types::{ErrorKind, ProgramId};
--- a/crates/quay_types/src/time.rs
+++ b/crates/quay_types/src/time.rs
@@ -1,4 +1,5 @@
-//! Points in time as plain numbers, so that decision logic never reads a clock.
+//! Points in time as plain numbers, so that decision logic reads no clock and
+//! stays deterministic.
 
 use {
     serde::{Deserialize, Serialize},
@@ -8,26 +9,26 @@
     },
 };
 
-/// A point in time in microseconds since an origin that the caller fixes.
+/// Point in time, in microseconds since an origin chosen by the caller.
 ///
-/// Ledger commands count from the Unix epoch; everything else counts from the
-/// start of its process. The two are never compared with each other.
+/// Ledger commands count from the Unix epoch; all other times count from the
+/// start of the process. Times with different origins are never compared.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Time(u64);
 
 impl Time {
-    /// The origin.
+    /// Origin of the time scale.
     pub const ZERO: Self = Self(0);
 
-    /// Builds a time from microseconds since the origin.
+    /// Creates a time from microseconds since the origin.
     #[must_use]
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// Builds a time from milliseconds since the origin.
+    /// Creates a time from milliseconds since the origin.
     #[must_use]
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis.saturating_mul(1_000))
@@ -45,7 +46,7 @@
         self.0 / 1_000
     }
 
-    /// Time that has passed since `earlier`; zero if `earlier` is later.
+    /// Duration since `earlier`; zero if `earlier` is later than `self`.
     #[must_use]
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
--- a/crates/quay_types/tests/types.rs
+++ b/crates/quay_types/tests/types.rs
@@ -1,4 +1,4 @@
-//! Tests of keys and the table of errors.
+//! Tests of ids, block hashes, decoding of untrusted bytes and the error table.
 
 use {
     proptest::prelude::*,
@@ -20,13 +20,13 @@
             kind.status(),
             kind.not_run()
         )
-        .expect("table");
+        .expect("write to string");
     }
     insta::assert_snapshot!(table);
     let page = include_str!("../../../docs/ERRORS.md");
     assert!(
         page.contains(&table),
-        "docs/ERRORS.md does not hold the table of the code"
+        "docs/ERRORS.md does not contain the error table generated from the code"
     );
 }
 
@@ -38,21 +38,21 @@
     }
 
     #[test]
-    fn shared_hashes_mean_a_shared_prefix(shared in prop::collection::vec(any::<u8>(), 0..1200), tail: [u8; 256]) {
+    fn block_hashes_of_a_prefix_are_a_prefix(shared in prop::collection::vec(any::<u8>(), 0..1200), tail: [u8; 256]) {
         let longer = [&*shared, &tail].concat();
         let (short, long) = (block_hashes(&shared), block_hashes(&longer));
         prop_assert_eq!(&long[..short.len()], &*short);
     }
 
     #[test]
-    fn bytes_from_outside_do_not_panic(bytes: Vec<u8>) {
+    fn decoding_arbitrary_bytes_does_not_panic(bytes: Vec<u8>) {
         let _ = postcard::from_bytes::<SidecarRequest>(&bytes);
         let _ = postcard::from_bytes::<CallRequest>(&bytes);
         let _ = postcard::from_bytes::<LedgerRequest>(&bytes);
     }
 
     #[test]
-    fn malformed_program_ids_are_errors(text in "[p\\-0-9a-g.]{0,24}") {
+    fn parsed_program_ids_round_trip(text in "[p\\-0-9a-g.]{0,24}") {
         if let Ok(program) = text.parse::<ProgramId>() {
             prop_assert_eq!(program.to_string().parse(), Ok(program));
         }
