--- a/crates/quay_ledger/examples/program_memory.rs
+++ b/crates/quay_ledger/examples/program_memory.rs
@@ -1,6 +1,6 @@
-//! Measures the memory of a program outside its chunks, and the time of a
-//! command. Each size takes a process of its own, since freed memory stays
-//! with the process.
+//! Measures the memory of a program without its history, and the time per
+//! command. Run each configuration in its own process, since freed memory is
+//! not returned to the operating system.
 //!
 //! `cargo run --release -p quay_ledger --example program_memory -- 160000 62`
 
@@ -15,10 +15,10 @@
     std::{env, fs, time::Instant},
 };
 
-/// Bytes of a memory page on the machines that this runs on.
+/// Memory page size in bytes on the target machines.
 const PAGE_BYTES: u64 = 4_096;
 
-/// A store of chunks that keeps none.
+/// [`History`] that discards all calls.
 #[derive(Debug, Default)]
 struct NoHistory;
 
@@ -42,8 +42,8 @@
     fn restore(&mut self, (): ()) {}
 }
 
-/// Resident memory of this process in bytes.
-fn resident() -> u64 {
+/// Resident memory of this process, in bytes.
+fn resident_bytes() -> u64 {
     let statm = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm.split_whitespace().nth(1);
     pages
@@ -52,21 +52,21 @@
         * PAGE_BYTES
 }
 
-/// A ledger and its log position.
-struct Run {
+/// Ledger with its log index.
+struct MeasuredLedger {
     ledger: Ledger<NoHistory>,
     index: u64,
 }
 
-impl Run {
+impl MeasuredLedger {
     fn apply(&mut self, op: Op) -> Reply {
         self.index += 1;
         let command = Command { at_ms: 1, op };
         self.ledger.apply(LogIndex(self.index), Epoch(1), command)
     }
 
-    /// Creates a program and makes its calls.
-    fn program(&mut self, number: u64, calls: u64) {
+    /// Creates a program and completes its calls.
+    fn run_program(&mut self, number: u64, calls: u64) {
         let account = AccountId(number % 3_600);
         let program = ProgramId::root(number);
         let key = |call: u64| RequestKey::of(account, &format!("{number}-{call}"));
@@ -110,7 +110,7 @@
     }
 }
 
-/// The argument at `position`, or `default`.
+/// Numeric command-line argument at `position`, or `default`.
 fn argument(position: usize, default: u64) -> u64 {
     let text = env::args().nth(position);
     text.and_then(|text| text.parse().ok()).unwrap_or(default)
@@ -118,17 +118,17 @@
 
 fn main() {
     let (programs, calls) = (argument(1, 160_000), argument(2, 62));
-    let before = resident();
-    let mut run = Run {
+    let before = resident_bytes();
+    let mut measured = MeasuredLedger {
         ledger: Ledger::new(GroupId(1), LedgerLimits::default()),
         index: 0,
     };
     let started = Instant::now();
     for number in 0..programs {
-        run.program(number, calls);
+        measured.run_program(number, calls);
     }
-    let nanos = started.elapsed().as_nanos() / u128::from(run.index);
-    let bytes = resident().saturating_sub(before) / programs;
+    let nanos = started.elapsed().as_nanos() / u128::from(measured.index);
+    let bytes = resident_bytes().saturating_sub(before) / programs;
     println!(
         "programs={programs} calls={calls} resident_bytes_a_program={bytes} ns_a_command={nanos}"
     );
--- a/crates/quay_ledger/src/budget.rs
+++ b/crates/quay_ledger/src/budget.rs
@@ -5,22 +5,23 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Tokens of a program: its limit, what was used and what is set aside.
+/// Token budget of a program: limit, tokens used and tokens reserved.
 ///
-/// `used + reserved <= limit` at all times, so no order of reservations and
-/// charges can exceed the limit.
+/// `used + reserved <= limit` holds at all times, so no order of reservations
+/// and charges can exceed the limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Budget {
-    /// Most tokens that may ever be used.
+    /// Maximum number of tokens that the program may use.
     limit: u64,
-    /// Tokens used by ended attempts and returned grants.
+    /// Tokens used by ended attempts and by sub-agents whose grants were
+    /// returned.
     used: u64,
-    /// Tokens set aside for open or lost attempts and for grants to sub-agents.
+    /// Tokens reserved for open or lost attempts and for grants to sub-agents.
     reserved: u64,
 }
 
 impl Budget {
-    /// A budget of which nothing is used.
+    /// Creates an unused budget.
     #[must_use]
     pub const fn new(limit: Tokens) -> Self {
         Self {
@@ -36,13 +37,13 @@
         Tokens(self.used)
     }
 
-    /// Tokens set aside.
+    /// Tokens reserved.
     #[must_use]
     pub const fn reserved(&self) -> Tokens {
         Tokens(self.reserved)
     }
 
-    /// Limit of the budget.
+    /// Maximum number of tokens.
     #[must_use]
     pub const fn limit(&self) -> Tokens {
         Tokens(self.limit)
@@ -54,7 +55,8 @@
         self.limit - self.used - self.reserved
     }
 
-    /// Sets tokens aside; `false` changes nothing.
+    /// Reserves tokens. Returns `false` and changes nothing if the budget does
+    /// not cover them.
     #[must_use]
     pub fn reserve(&mut self, tokens: Tokens) -> bool {
         if tokens.0 > self.free() {
@@ -65,21 +67,22 @@
         true
     }
 
-    /// Gives a reservation back and charges what was used of it.
+    /// Releases a reservation and charges the tokens that were used.
     ///
-    /// An upstream that counts more than was reserved is charged to what is
-    /// left of the budget and never beyond it.
+    /// If an upstream counts more tokens than were reserved, the excess is
+    /// charged up to the limit of the budget and not beyond.
     pub fn charge(&mut self, reservation: Tokens, used: Tokens) {
         assert!(
             reservation.0 <= self.reserved,
-            "a reservation is given back once"
+            "released more tokens than are reserved"
         );
         self.reserved -= reservation.0;
         self.used += used.0.min(self.free());
         self.assert_invariant();
     }
 
-    /// Lowers the limit to what is used and set aside; the tokens set free.
+    /// Lowers the limit to the tokens used and reserved. Returns the number of
+    /// tokens by which the limit was lowered.
     #[must_use]
     pub fn shrink(&mut self) -> Tokens {
         let free = self.free();
@@ -88,7 +91,7 @@
         Tokens(free)
     }
 
-    /// Asserts the invariant.
+    /// Asserts that `used + reserved <= limit`.
     fn assert_invariant(&self) {
         let held = self.used.checked_add(self.reserved);
         assert!(
--- a/crates/quay_ledger/src/calls.rs
+++ b/crates/quay_ledger/src/calls.rs
@@ -1,9 +1,9 @@
-//! Calls: permits, order, replay, settlement.
+//! Operations on calls: order, permits, replay of outcomes and settlement.
 
 use {
     crate::{
-        History, Ledger, OpenCall, Reply, StoredCall, ledger::Position, program::fingerprint,
-        refuse,
+        History, Ledger, OpenCall, Reply, StoredCall, ledger::LogPosition, program::fingerprint,
+        refusal,
     },
     quay_types::{
         Attempt, Begin, BeginReply, CallNumber, Error, ErrorKind, Incarnation, NewProgram, Outcome,
@@ -11,35 +11,36 @@
     },
 };
 
-/// What the ledger finds under the key of a [`Begin`].
-enum Found {
-    /// No call has this key.
-    Nothing,
-    /// A call that has ended.
+/// Result of looking up the key of a [`Begin`].
+enum Lookup {
+    /// The program has no call with this key.
+    Absent,
+    /// The call has ended with this outcome.
     Closed(Outcome),
-    /// The open call.
+    /// The call is the open call.
     Open,
 }
 
 impl<H: History> Ledger<H> {
-    /// Answers a request to run a call.
-    pub(crate) fn begin(&mut self, at: Position, begin: Begin) -> BeginReply {
+    /// Handles a request for a permit to run a call.
+    pub(crate) fn begin(&mut self, at: LogPosition, begin: Begin) -> BeginReply {
         self.try_begin(at, begin)
             .unwrap_or_else(BeginReply::Refused)
     }
 
-    /// As [`Ledger::begin`]; an error changes nothing that matters to a call.
-    fn try_begin(&mut self, at: Position, begin: Begin) -> Result<BeginReply> {
+    /// Implements [`Ledger::begin`]. An error leaves the state of all calls
+    /// unchanged.
+    fn try_begin(&mut self, at: LogPosition, begin: Begin) -> Result<BeginReply> {
         if begin.number == Some(CallNumber(0)) {
-            return Err(refuse(ErrorKind::BadRequest, "calls are numbered from 1"));
+            return Err(refusal(ErrorKind::BadRequest, "calls are numbered from 1"));
         }
         let id = begin.program;
         if let (Some(limits), None) = (begin.implicit, self.state.programs.get(&id)) {
-            self.may_run(&begin)?;
+            self.check_entry(&begin)?;
             if limits.turns == 0 || begin.reserve > limits.budget {
-                return Err(refuse(
+                return Err(refusal(
                     ErrorKind::BudgetExceeded,
-                    "the call needs more than a program of its own may have",
+                    "the call exceeds the limits of a program for a standalone call",
                 ));
             }
             self.create_root(&NewProgram {
@@ -52,67 +53,73 @@
             self.state.programs[&id].implicit = true;
         }
         self.owned(id, begin.account)?;
-        match self.find(&begin)? {
-            Found::Closed(outcome) => Ok(BeginReply::Replay(outcome)),
-            Found::Open => self
+        match self.lookup(&begin)? {
+            Lookup::Closed(outcome) => Ok(BeginReply::Replay(outcome)),
+            Lookup::Open => self
                 .next_attempt(at, &begin)
-                .map_err(|err| self.not_again(id, err)),
-            Found::Nothing => self.next_call(at, begin),
+                .map_err(|err| self.replace_not_run_error(id, err)),
+            Lookup::Absent => self.next_call(at, begin),
         }
     }
 
-    /// Finds the call of a key; other content under the same key conflicts.
-    fn find(&self, begin: &Begin) -> Result<Found> {
+    /// Looks up the call with the key of `begin`. Other content under the same
+    /// key is a conflict.
+    fn lookup(&self, begin: &Begin) -> Result<Lookup> {
         let program = &self.state.programs[&begin.program];
         if program.implicit && program.key != begin.key {
-            return Err(conflict("the program has one call, and this is another"));
+            return Err(conflict(
+                "the program belongs to a standalone call with another key",
+            ));
         }
         if let Some(open) = program.open.as_ref().filter(|open| open.key == begin.key) {
-            same_call(begin, program.last_call(), open.digest == begin.digest)?;
-            return Ok(Found::Open);
+            check_same_call(begin, program.last_call(), open.digest == begin.digest)?;
+            return Ok(Lookup::Open);
         }
         for number in program.candidates(begin.key) {
-            let chunk = self.history.read(begin.program, number);
-            let Some(chunk) = chunk.filter(|chunk| chunk.key == begin.key) else {
+            let call = self.history.read(begin.program, number);
+            let Some(call) = call.filter(|call| call.key == begin.key) else {
                 continue;
             };
-            same_call(begin, number, chunk.digest == begin.digest)?;
-            // The open call was dealt with above, so this one has ended.
-            if let Some(outcome) = chunk.outcome {
-                return Ok(Found::Closed(outcome));
+            check_same_call(begin, number, call.digest == begin.digest)?;
+            // The open call was handled above, so this call has ended.
+            if let Some(outcome) = call.outcome {
+                return Ok(Lookup::Closed(outcome));
             }
         }
-        Ok(Found::Nothing)
+        Ok(Lookup::Absent)
     }
 
-    /// Takes the program's next call, in order.
-    fn next_call(&mut self, at: Position, begin: Begin) -> Result<BeginReply> {
+    /// Opens the program's next call if its turn has come.
+    fn next_call(&mut self, at: LogPosition, begin: Begin) -> Result<BeginReply> {
         let program = &self.state.programs[&begin.program];
         let given_up = program.open.as_ref().is_some_and(|open| open.given_up);
         let withdrawn = given_up && !program.open_may_have_run();
-        let made = program.last_call().0 - u32::from(withdrawn);
-        let next = CallNumber(made + 1);
+        let call_count = program.last_call().0 - u32::from(withdrawn);
+        let next = CallNumber(call_count + 1);
         if begin.number.is_some_and(|number| number < next) {
-            return Err(conflict("the call number was used before with another key"));
+            return Err(conflict(
+                "the call number was already used with another key",
+            ));
         }
         if program.ended_ms.is_some() {
-            return Err(refuse(ErrorKind::ProgramEnded, "the program has ended"));
+            return Err(refusal(ErrorKind::ProgramEnded, "the program has ended"));
         }
-        if made >= program.limits.turns {
-            return Err(refuse(
+        if call_count >= program.limits.turns {
+            return Err(refusal(
                 ErrorKind::ProgramLimit,
-                "the program has no turn left",
+                "the program has reached its limit of turns",
             ));
         }
         let predecessor_open = program.open.is_some() && !given_up;
-        let barred = self.state.now_ms < program.next_start_ms;
-        if predecessor_open || barred || begin.number.is_some_and(|number| number > next) {
+        let before_next_start = self.state.now_ms < program.next_start_ms;
+        if predecessor_open || before_next_start || begin.number.is_some_and(|number| number > next)
+        {
             return Ok(BeginReply::Wait(self.state.limits.wait_ms));
         }
-        self.may_run(&begin)?;
-        self.afford(&begin)?;
+        self.check_entry(&begin)?;
+        self.reserve_tokens(&begin)?;
         if given_up {
-            self.abandon(begin.program);
+            self.resolve_given_up(begin.program);
         }
         let program = &mut self.state.programs[&begin.program];
         program.calls.push(fingerprint(begin.key));
@@ -125,85 +132,89 @@
             active_permit: None,
             given_up: false,
         }));
-        let reply = self.issue(at, &begin);
-        let chunk = StoredCall {
+        let reply = self.issue_permit(at, &begin);
+        let call = StoredCall {
             key: begin.key,
             digest: begin.digest,
             prompt: begin.prompt,
             outcome: None,
         };
-        self.history.append(begin.program, chunk);
+        self.history.append(begin.program, call);
         Ok(reply)
     }
 
-    /// Takes the promise "not run" out of a refusal of a call that may have run.
-    fn not_again(&self, id: ProgramId, err: Error) -> Error {
+    /// Replaces an error that claims "not run" if the open call may have run.
+    fn replace_not_run_error(&self, id: ProgramId, err: Error) -> Error {
         if !err.kind.not_run() || !self.state.programs[&id].open_may_have_run() {
             return err;
         }
         let text = format!(
-            "an attempt was lost, and there is no other: {}",
+            "an attempt was lost, and no further attempt is possible: {}",
             err.message
         );
-        refuse(ErrorKind::UpstreamLost, text)
+        refusal(ErrorKind::UpstreamLost, text)
     }
 
-    /// Joins the running attempt of the open call, or issues the next permit.
-    fn next_attempt(&mut self, at: Position, begin: &Begin) -> Result<BeginReply> {
+    /// Returns the running attempt of the open call, or issues the next permit.
+    fn next_attempt(&mut self, at: LogPosition, begin: &Begin) -> Result<BeginReply> {
         let program = &self.state.programs[&begin.program];
         if let Some(active) = program.open.as_ref().and_then(|open| open.active_permit) {
             return Ok(BeginReply::Running(active));
         }
         if program.ended_ms.is_some() {
-            return Err(refuse(ErrorKind::ProgramEnded, "the program has ended"));
+            return Err(refusal(ErrorKind::ProgramEnded, "the program has ended"));
         }
         if !program.can_lose_attempt() {
-            return Err(refuse(
+            return Err(refusal(
                 ErrorKind::ProgramLimit,
-                "too many attempts were lost",
+                "the program has reached its limit of lost attempts",
             ));
         }
-        self.may_run(begin)?;
-        self.afford(begin)?;
-        Ok(self.issue(at, begin))
+        self.check_entry(begin)?;
+        self.reserve_tokens(begin)?;
+        Ok(self.issue_permit(at, begin))
     }
 
-    /// Whether the asking entry may be given any permit.
-    fn may_run(&self, begin: &Begin) -> Result<()> {
+    /// Refuses an entry that has an outdated configuration or no upstream for
+    /// the call.
+    fn check_entry(&self, begin: &Begin) -> Result<()> {
         if begin.config < self.state.config_floor {
-            return Err(refuse(
+            return Err(refusal(
                 ErrorKind::ConfigStale,
-                "the entry's configuration is too old",
+                "the configuration of the entry is out of date",
             ));
         }
         if begin.upstream == (UpstreamId::default(), Incarnation::default()) {
-            return Err(refuse(ErrorKind::NoUpstream, "no upstream serves this now"));
+            return Err(refusal(
+                ErrorKind::NoUpstream,
+                "no upstream is available for the call",
+            ));
         }
         Ok(())
     }
 
-    /// Sets the call's tokens aside.
-    fn afford(&mut self, begin: &Begin) -> Result<()> {
+    /// Reserves the call's tokens in the program's budget.
+    fn reserve_tokens(&mut self, begin: &Begin) -> Result<()> {
         let budget = &mut self.state.programs[&begin.program].budget;
         if budget.reserve(begin.reserve) {
             return Ok(());
         }
-        Err(refuse(
+        Err(refusal(
             ErrorKind::BudgetExceeded,
             format!(
-                "the call may need {} tokens, the program has {} left",
+                "the call may need {} tokens, but the program's budget has {} left",
                 begin.reserve.0,
                 budget.free()
             ),
         ))
     }
 
-    /// Issues a permit for the open call, whose tokens are set aside.
-    fn issue(&mut self, at: Position, begin: &Begin) -> BeginReply {
+    /// Issues a permit for the open call, whose tokens are already reserved.
+    fn issue_permit(&mut self, at: LogPosition, begin: &Begin) -> BeginReply {
         let program = &mut self.state.programs[&begin.program];
         let (number, attained) = (program.last_call(), program.budget.used());
         let Some(open) = program.open.as_mut() else {
-            unreachable!("permits are issued for open calls only");
+            unreachable!("permits are issued only for open calls");
         };
         let permit = Permit {
             id: PermitId {
@@ -232,13 +243,13 @@
     }
 
     // -----------------------------------------------------------------------
-    // Settling
+    // Settlement
 
-    /// Closes an attempt, once; a resend changes nothing.
+    /// Records the end of an attempt. A resend changes nothing.
     pub(crate) fn settle(&mut self, settle: Settle) -> Reply {
         let id = settle.program;
         let Some(program) = self.state.programs.get(&id) else {
-            return unrecorded(&settle.outcome);
+            return reply_without_record(&settle.outcome);
         };
         let active = program.open.as_ref().and_then(|open| open.active_permit);
         let reply = if active.is_some_and(|active| active.id == settle.permit.id) {
@@ -252,19 +263,20 @@
         reply
     }
 
-    /// Closes the attempt in use.
+    /// Settles the attempt of the active permit.
     fn settle_active(&mut self, id: ProgramId, outcome: Outcome) {
         let program = &mut self.state.programs[&id];
         let Some(open) = program.open.as_mut() else {
             return;
         };
         let (idempotent, issued_ms) = (open.idempotent, open.issued_ms);
-        match (charged(&outcome), open.active_permit) {
+        match (charged_tokens(&outcome), open.active_permit) {
             (Some(used), Some(permit)) => {
                 open.active_permit = None;
                 program.budget.charge(permit.reserved, used);
             }
-            // The upstream may still run it, so its tokens stay set aside.
+            // The upstream may still run the attempt, so its tokens stay
+            // reserved.
             _ => program.mark_active_lost(),
         }
         let closes = match outcome {
@@ -273,7 +285,8 @@
             Outcome::Completed { .. } | Outcome::Failed { .. } => true,
         };
         if closes && outcome == Outcome::Unknown {
-            // Its sidecar may not have seen it yet, and may still start it.
+            // The sidecar may not have received the attempt yet, and may still
+            // start it.
             let program = &mut self.state.programs[&id];
             program.next_start_ms = issued_ms + u64::from(self.state.limits.start_limit_ms);
         }
@@ -282,7 +295,8 @@
         }
     }
 
-    /// Marks the open call as given up, if it has this key and no attempt runs.
+    /// Marks the open call as given up, if it has this key and no active
+    /// permit.
     pub(crate) fn give_up(&mut self, id: ProgramId, key: RequestKey) {
         let Some(program) = self.state.programs.get_mut(&id) else {
             return;
@@ -294,15 +308,16 @@
             return;
         }
         open.given_up = true;
-        // A program of one call that never ran leaves nothing to remember.
+        // The program of a standalone call that did not run has no outcome to
+        // retain.
         if program.implicit && !program.open_may_have_run() {
             self.forget(id);
         }
     }
 
-    /// Clears the way for the call after one that was given up: one that never
-    /// ran is withdrawn, any other is closed.
-    fn abandon(&mut self, id: ProgramId) {
+    /// Resolves the given-up open call so that the next call can start: closes
+    /// it if it may have run, removes it otherwise.
+    fn resolve_given_up(&mut self, id: ProgramId) {
         let program = &mut self.state.programs[&id];
         if program.open_may_have_run() {
             self.close(id, Outcome::Unknown);
@@ -313,8 +328,8 @@
         self.history.remove_last(id);
     }
 
-    /// Closes the open call. An attempt that still runs is of no more use, and
-    /// its tokens stay set aside until it is heard of.
+    /// Closes the open call. An attempt that is still running becomes lost, and
+    /// its tokens stay reserved until it is settled.
     fn close(&mut self, id: ProgramId, outcome: Outcome) {
         self.history.record_outcome(id, outcome);
         let program = &mut self.state.programs[&id];
@@ -325,42 +340,43 @@
         }
     }
 
-    /// Takes news of an attempt that is not in use any more.
+    /// Settles an attempt whose permit is no longer active.
     ///
-    /// Its tokens are settled. The first whole answer of any attempt closes the
-    /// call; once closed, the recorded outcome stands.
+    /// Charges the attempt's tokens. The first final outcome of any attempt
+    /// closes the call; the recorded outcome of a closed call does not change.
     fn settle_late(&mut self, settle: Settle) -> Reply {
-        let Some(chunk) = self.recorded(settle.program, settle.permit.key) else {
-            return unrecorded(&settle.outcome);
+        let Some(call) = self.stored_call(settle.program, settle.permit.key) else {
+            return reply_without_record(&settle.outcome);
         };
         let was_lost = self.settle_lost(settle.program, settle.permit.id, &settle.outcome);
-        match (chunk.outcome, &settle.outcome) {
-            (Some(stands), outcome) if stands == *outcome => Reply::Done,
-            (Some(stands), _) => Reply::Superseded(stands),
+        match (call.outcome, &settle.outcome) {
+            (Some(recorded), outcome) if recorded == *outcome => Reply::Done,
+            (Some(recorded), _) => Reply::Superseded(recorded),
             (None, Outcome::NotRun | Outcome::Unknown) => Reply::Done,
             (None, _) if was_lost => {
                 self.close(settle.program, settle.outcome);
                 Reply::Done
             }
-            (None, _) => unrecorded(&settle.outcome),
+            (None, _) => reply_without_record(&settle.outcome),
         }
     }
 
-    /// The chunk of a key's call.
-    fn recorded(&self, id: ProgramId, key: RequestKey) -> Option<StoredCall> {
+    /// Stored call with this key.
+    fn stored_call(&self, id: ProgramId, key: RequestKey) -> Option<StoredCall> {
         let mut numbers = self.state.programs[&id].candidates(key);
         numbers.find_map(|number| {
-            let chunk = self.history.read(id, number)?;
-            (chunk.key == key).then_some(chunk)
+            let call = self.history.read(id, number)?;
+            (call.key == key).then_some(call)
         })
     }
 
-    /// Settles the tokens of a lost attempt; `false` if it was not lost.
+    /// Charges the tokens of a lost attempt if its usage is known. Returns
+    /// `false` if the attempt is not among the lost ones.
     fn settle_lost(&mut self, id: ProgramId, permit: PermitId, outcome: &Outcome) -> bool {
         let program = &mut self.state.programs[&id];
         let slot = program.lost.iter().position(|lost| lost.permit == permit);
         let Some(slot) = slot else { return false };
-        if let Some(used) = charged(outcome) {
+        if let Some(used) = charged_tokens(outcome) {
             let lost = program.lost.remove(slot);
             program.budget.charge(lost.reserved, used);
         }
@@ -368,20 +384,20 @@
     }
 }
 
-/// Answers for an attempt whose call is not there any more, or whose permit was
-/// given back: an answer of it is never told to a caller.
-fn unrecorded(outcome: &Outcome) -> Reply {
+/// Reply to the settlement of an attempt whose call is no longer stored or
+/// whose permit was returned unused. Its answer must not reach a caller.
+fn reply_without_record(outcome: &Outcome) -> Reply {
     match outcome {
         Outcome::NotRun | Outcome::Unknown => Reply::Done,
-        Outcome::Completed { .. } | Outcome::Failed { .. } => Reply::Refused(refuse(
+        Outcome::Completed { .. } | Outcome::Failed { .. } => Reply::Refused(refusal(
             ErrorKind::Internal,
-            "the permit was given back, or its program was forgotten",
+            "the permit was returned unused, or its program was removed",
         )),
     }
 }
 
-/// Tokens to charge for an outcome; `None` if nobody knows.
-fn charged(outcome: &Outcome) -> Option<Tokens> {
+/// Tokens to charge for an outcome; `None` if the usage is unknown.
+fn charged_tokens(outcome: &Outcome) -> Option<Tokens> {
     match outcome {
         Outcome::Completed { prompt, output, .. } => {
             Some(Tokens(prompt.0.saturating_add(output.0)))
@@ -392,18 +408,20 @@
     }
 }
 
-/// Refuses other content or another number under a known key.
-fn same_call(begin: &Begin, number: CallNumber, same_digest: bool) -> Result<()> {
+/// Refuses other content or another call number under a known key.
+fn check_same_call(begin: &Begin, number: CallNumber, same_digest: bool) -> Result<()> {
     if !same_digest {
-        return Err(conflict("the key was used before for other content"));
+        return Err(conflict("the key was already used with other content"));
     }
     if begin.number.is_some_and(|asked| asked != number) {
-        return Err(conflict("the key was used before for another call number"));
+        return Err(conflict(
+            "the key was already used with another call number",
+        ));
     }
     Ok(())
 }
 
-/// A conflict with what is recorded.
+/// Error for a request that conflicts with a recorded call.
 fn conflict(text: &str) -> Error {
-    refuse(ErrorKind::Conflict, text)
+    refusal(ErrorKind::Conflict, text)
 }
--- a/crates/quay_ledger/src/command.rs
+++ b/crates/quay_ledger/src/command.rs
@@ -1,4 +1,4 @@
-//! What the ledger is told and asked, and what it answers.
+//! Commands and queries of the ledger, and the replies to them.
 
 use {
     quay_types::{
@@ -8,67 +8,68 @@
     serde::{Deserialize, Serialize},
 };
 
-/// A command with the wall time that the leader read when it proposed it.
+/// Command with the leader's wall-clock time at the moment of the proposal.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Command {
-    /// Milliseconds since the Unix epoch. A time in the past counts as the
-    /// latest time seen, so the ledger's time never falls.
+    /// Milliseconds since the Unix epoch. If the value is less than the latest
+    /// time seen, the latter is used, so the ledger's time never decreases.
     pub at_ms: u64,
-    /// What to do.
+    /// Operation to apply.
     pub op: Op,
 }
 
-/// A change of the ledger; each is idempotent by the key that it carries.
+/// Operation that changes the ledger; idempotent by the key that it carries.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Op {
-    /// Create a program.
+    /// Creates a program.
     Create(NewProgram),
-    /// Ask for leave to run a call.
+    /// Requests a permit to run a call.
     Begin(Begin),
-    /// Close an attempt.
+    /// Records the end of an attempt.
     Settle(Settle),
-    /// The caller was told that the call of this key ended without a whole
-    /// answer; later calls need not wait for it.
+    /// Records that the caller was told that the call with this key ended
+    /// without a complete answer, so that later calls need not wait for it.
     GiveUp(ProgramId, RequestKey),
-    /// End a program and its sub-agents.
+    /// Ends a program and its sub-agents.
     End(ProgramId, AccountId),
-    /// Refuse permits to entries whose configuration is older than this.
+    /// Refuses permits to entries whose configuration is older than this.
     ConfigFloor(ConfigIndex),
-    /// End and forget what is due; nothing else happens.
+    /// Ends expired programs and removes those past their retention, as every
+    /// command does.
     Expire,
 }
 
-/// Answer to an [`Op`].
+/// Reply to an [`Op`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Reply {
     /// The program exists.
     Created(ProgramId),
-    /// Answer to `Begin`.
+    /// Reply to `Begin`.
     Begin(BeginReply),
-    /// The change is made, or was made before.
+    /// The change was applied, now or by an earlier send.
     Done,
-    /// The call was closed before with another outcome, which stands.
+    /// The call already has this other outcome, which is final.
     Superseded(Outcome),
-    /// Nothing was changed.
+    /// The operation was refused and changed nothing.
     Refused(Error),
 }
 
-/// A question to the ledger.
+/// Read-only query of the ledger.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Query {
-    /// A program with its history.
+    /// Reads a program with its history.
     Show(ProgramId, AccountId),
-    /// Which of these programs have ended.
+    /// Asks which of these programs have ended.
     Ended(Box<[ProgramId]>),
 }
 
 /// Answer to a [`Query`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Answer {
-    /// The program.
+    /// State and history of the program.
     Program(Box<ProgramStatus>),
-    /// Those that have ended or are not known any more.
+    /// Programs that have ended or are no longer known.
     Ended(Box<[ProgramId]>),
-    /// The account may not see the program, or there is none.
+    /// The program belongs to another account or does not exist.
     Refused(Error),
 }
--- a/crates/quay_ledger/src/history.rs
+++ b/crates/quay_ledger/src/history.rs
@@ -1,4 +1,4 @@
-//! Histories of programs, kept beside their records.
+//! Storage of program histories, separate from the program records.
 
 use {
     indexmap::IndexMap,
@@ -6,92 +6,94 @@
     serde::{Deserialize, Serialize, de::DeserializeOwned},
 };
 
-/// What is written once when a call begins and once when it ends.
+/// Call in a program's history. Written once when the call begins and once
+/// when it ends.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredCall {
     /// Identity of the call.
     pub key: RequestKey,
-    /// Digest of its content.
+    /// Digest of the call's content.
     pub digest: ContentDigest,
-    /// New part of its prompt.
+    /// New part of the call's prompt.
     pub prompt: Box<[u8]>,
-    /// How it ended; `None` while it is open.
+    /// Outcome of the call; `None` while the call is open.
     pub outcome: Option<Outcome>,
 }
 
-/// Keeps the chunks of every program.
+/// Store for the calls of all programs.
 ///
-/// Chunks are large and seldom read, so a store may keep them on disk. It must
-/// give back what was written last, and is changed only by committed commands.
+/// Stored calls are large and rarely read, so an implementation may keep them
+/// on disk. A read must return the last value written. Only committed commands
+/// change the store.
 pub trait History: Default + Send + 'static {
-    /// Every chunk, for snapshots.
+    /// All stored calls, as part of a ledger snapshot.
     type Snapshot: Serialize + DeserializeOwned + Send + 'static;
 
-    /// Appends the chunk of the program's next call.
-    fn append(&mut self, program: ProgramId, chunk: StoredCall);
+    /// Appends the program's next call.
+    fn append(&mut self, program: ProgramId, call: StoredCall);
 
-    /// Records the outcome of a program's last call.
+    /// Records the outcome of the program's last call.
     fn record_outcome(&mut self, program: ProgramId, outcome: Outcome);
 
-    /// Removes the chunk of a program's last call, which never ran.
+    /// Removes the program's last call, which did not run.
     fn remove_last(&mut self, program: ProgramId);
 
-    /// Reads the chunk of a call.
+    /// Reads a call of a program.
     fn read(&self, program: ProgramId, number: CallNumber) -> Option<StoredCall>;
 
-    /// Forgets a program.
+    /// Removes all calls of a program.
     fn remove_program(&mut self, program: ProgramId);
 
-    /// Copies every chunk.
+    /// Copies all stored calls.
     fn snapshot(&self) -> Self::Snapshot;
 
-    /// Replaces every chunk.
+    /// Replaces all stored calls.
     fn restore(&mut self, snapshot: Self::Snapshot);
 
-    /// The whole history of a program of `calls` calls, in order.
+    /// Complete history of a program with `calls` calls, in order.
     fn calls(&self, program: ProgramId, calls: u32) -> Box<[CallRecord]> {
         let numbers = (1..=calls).map(CallNumber);
         numbers
             .filter_map(|number| {
-                let chunk = self.read(program, number)?;
+                let call = self.read(program, number)?;
                 Some(CallRecord {
                     number,
-                    prompt: chunk.prompt,
-                    outcome: chunk.outcome,
+                    prompt: call.prompt,
+                    outcome: call.outcome,
                 })
             })
             .collect()
     }
 }
 
-/// Chunks in memory.
+/// [`History`] that keeps the stored calls in memory.
 #[derive(Debug, Default)]
 pub struct MemoryHistory(IndexMap<ProgramId, Vec<StoredCall>>);
 
 impl History for MemoryHistory {
     type Snapshot = IndexMap<ProgramId, Vec<StoredCall>>;
 
-    fn append(&mut self, program: ProgramId, chunk: StoredCall) {
-        self.0.entry(program).or_default().push(chunk);
+    fn append(&mut self, program: ProgramId, call: StoredCall) {
+        self.0.entry(program).or_default().push(call);
     }
 
     fn record_outcome(&mut self, program: ProgramId, outcome: Outcome) {
-        let chunks = self.0.get_mut(&program);
-        let last = chunks.and_then(|chunks| chunks.last_mut());
+        let calls = self.0.get_mut(&program);
+        let last = calls.and_then(|calls| calls.last_mut());
         assert!(
-            last.as_ref().is_some_and(|chunk| chunk.outcome.is_none()),
-            "{program}: only an open call ends"
+            last.as_ref().is_some_and(|call| call.outcome.is_none()),
+            "{program}: outcome recorded for a call that is not open"
         );
-        if let Some(chunk) = last {
-            chunk.outcome = Some(outcome);
+        if let Some(call) = last {
+            call.outcome = Some(outcome);
         }
     }
 
     fn remove_last(&mut self, program: ProgramId) {
         let last = self.0.get_mut(&program).and_then(Vec::pop);
         assert!(
-            last.is_some_and(|chunk| chunk.outcome.is_none()),
-            "{program}: only an open call is withdrawn"
+            last.is_some_and(|call| call.outcome.is_none()),
+            "{program}: removed a call that is not open"
         );
     }
 
--- a/crates/quay_ledger/src/ledger.rs
+++ b/crates/quay_ledger/src/ledger.rs
@@ -1,8 +1,8 @@
-//! The state machine: programs of one group.
+//! Replicated state machine that holds the programs of one ledger group.
 
 use {
     crate::{
-        Answer, Command, History, LedgerLimits, MemoryHistory, Op, Program, Query, Reply, refuse,
+        Answer, Command, History, LedgerLimits, MemoryHistory, Op, Program, Query, Reply, refusal,
     },
     indexmap::IndexMap,
     quay_quorum::StateMachine,
@@ -14,51 +14,57 @@
     std::collections::BTreeSet,
 };
 
-/// Programs that one command ends or forgets at most, so that none takes long.
+/// Maximum number of programs that one command ends, and that it removes, so
+/// that no command takes long.
 const EXPIRE_BATCH: usize = 64;
 
-/// Everything but the histories, as it is replicated.
+/// Replicated state without the histories.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct State {
-    /// Group that this ledger is for.
+    /// Ledger group that this state belongs to.
     pub group: GroupId,
-    /// Bounds.
+    /// Limits of the group.
     pub limits: LedgerLimits,
-    /// Latest time of any command, in milliseconds; never falls.
+    /// Latest time of any command, in milliseconds since the Unix epoch; never
+    /// decreases.
     pub now_ms: u64,
-    /// Entries with an older configuration get no permit.
+    /// Oldest configuration with which an entry gets permits.
     pub config_floor: ConfigIndex,
-    /// Programs, ended ones until their retention is over.
+    /// Open programs, and ended programs within their retention.
     pub programs: IndexMap<ProgramId, Program>,
-    /// Root programs of each account.
+    /// Number of root programs of each account.
     pub accounts: IndexMap<AccountId, u32>,
-    /// Programs by the time at which they end at the latest; only open ones.
+    /// Open programs by expiry time in milliseconds.
     pub expiries: BTreeSet<(u64, ProgramId)>,
-    /// Ended root programs by the time of their end.
+    /// Ended root programs by the time of their end in milliseconds.
     pub ended: BTreeSet<(u64, ProgramId)>,
 }
 
-/// Programs of one group with their histories.
+/// Programs of one ledger group with their histories.
 ///
-/// Every command leaves these true, and asserts them for the program it
-/// changed: `used + reserved <= budget`; at most one open call a program, the
-/// last one; at most one permit that isn't refused for a call that may not run
-/// twice; the reservations of a program are those of its attempts and grants.
+/// Each command preserves these invariants and asserts them for the program
+/// that it changed:
+///
+/// - `used + reserved <= budget`.
+/// - A program has at most one open call, which is its last call.
+/// - A call that may not run twice has at most one permit that is not refused.
+/// - The tokens reserved by a program are those of its open and lost attempts
+///   and of its grants to sub-agents.
 #[derive(Debug)]
 pub struct Ledger<H = MemoryHistory> {
     pub(crate) state: State,
     pub(crate) history: H,
 }
 
-/// Where a command stands in the log.
+/// Position of a command in the replicated log.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Position {
+pub(crate) struct LogPosition {
     pub index: LogIndex,
     pub epoch: Epoch,
 }
 
 impl<H: History> Ledger<H> {
-    /// A ledger of `group` without programs.
+    /// Creates a ledger for `group` without programs.
     #[must_use]
     pub fn new(group: GroupId, limits: LedgerLimits) -> Self {
         let state = State {
@@ -77,23 +83,26 @@
         }
     }
 
-    /// Programs that are kept, ended ones too.
+    /// Number of programs, including ended ones.
     #[must_use]
     pub fn program_count(&self) -> usize {
         self.state.programs.len()
     }
 
-    /// Asserts the invariants of every program.
+    /// Asserts the invariants of all programs and of the per-account counters.
     pub fn assert_invariants(&self) {
         for id in self.state.programs.keys() {
             self.assert_program_invariants(*id);
         }
         let roots = self.state.programs.keys().filter(|id| id.is_root()).count();
         let counted: u32 = self.state.accounts.values().sum();
-        assert_eq!(roots, counted as usize, "accounts count their programs");
+        assert_eq!(
+            roots, counted as usize,
+            "root programs equal the sum of the account counters"
+        );
     }
 
-    /// Asserts the invariants of a program and of its parent.
+    /// Asserts the invariants of a program and of its ancestors.
     pub(crate) fn assert_program_invariants(&self, id: ProgramId) {
         let mut next = Some(id);
         while let Some(id) = next {
@@ -105,7 +114,7 @@
         }
     }
 
-    /// Tokens of a program's budget that its sub-agents hold.
+    /// Tokens of a program's budget that are granted to its sub-agents.
     fn granted(&self, id: ProgramId) -> u64 {
         let tree = self.tree(id);
         let children = tree.filter_map(|child| self.state.programs.get(&child));
@@ -115,32 +124,36 @@
             .sum()
     }
 
-    /// Every program of the tree that `id` belongs to, the root first.
+    /// Ids of all programs in the tree that contains `id`, root first.
     pub(crate) fn tree(&self, id: ProgramId) -> impl Iterator<Item = ProgramId> + use<H> {
         let root = ProgramId::root(id.root);
-        let branches = self.state.programs.get(&root).map_or(0, |it| it.sub_agents);
+        let branches = self
+            .state
+            .programs
+            .get(&root)
+            .map_or(0, |program| program.sub_agents);
         (0..=branches).map(move |branch| root.sub_agent(branch))
     }
 
-    /// The program, if `account` owns it.
+    /// Returns the program if `account` owns it, otherwise an error.
     pub(crate) fn owned(&self, id: ProgramId, account: AccountId) -> Result<&Program> {
         match self.state.programs.get(&id) {
             Some(program) if program.account == account => Ok(program),
-            Some(_) => Err(refuse(
+            Some(_) => Err(refusal(
                 ErrorKind::Forbidden,
                 "the program belongs to another account",
             )),
-            None => Err(refuse(
+            None => Err(refusal(
                 ErrorKind::NotFound,
-                "there is no such program, or it ended long ago",
+                "the program does not exist, or its retention has passed",
             )),
         }
     }
 
     // -----------------------------------------------------------------------
-    // Creating and ending
+    // Creation and end
 
-    /// Creates a program, or finds the one that the same request created.
+    /// Creates a program, or returns the one that the same request created.
     fn create(&mut self, new: &NewProgram) -> Result<ProgramId> {
         if new.sub_agent {
             self.create_sub_agent(new)
@@ -152,13 +165,16 @@
     /// Creates a root program.
     pub(crate) fn create_root(&mut self, new: &NewProgram) -> Result<()> {
         if !new.program.is_root() {
-            return Err(refuse(ErrorKind::BadRequest, "the id is a sub-agent's"));
+            return Err(refusal(
+                ErrorKind::BadRequest,
+                "the id of a root program was expected, not of a sub-agent",
+            ));
         }
         if self.state.programs.contains_key(&new.program) {
             let known = self.owned(new.program, new.account)?;
-            return same(known, new);
+            return check_same_request(known, new);
         }
-        self.room_for(new.account)?;
+        self.check_capacity(new.account)?;
         let program = Program::new(new, self.state.now_ms, None, 0);
         let expiry = (program.expires_ms, new.program);
         self.state.expiries.insert(expiry);
@@ -167,43 +183,53 @@
         Ok(())
     }
 
-    /// Refuses a new program over the bounds. Kept programs are never dropped
-    /// early for new ones: their outcomes are what keeps a resend from running.
-    fn room_for(&self, account: AccountId) -> Result<()> {
+    /// Refuses a new program above the limits. Ended programs are not evicted
+    /// early to make room: their recorded outcomes prevent a resend from
+    /// running again.
+    fn check_capacity(&self, account: AccountId) -> Result<()> {
         if self.state.programs.len() >= self.state.limits.programs as usize {
-            return Err(refuse(ErrorKind::Overloaded, "the ledger group is full"));
+            return Err(refusal(ErrorKind::Overloaded, "the ledger group is full"));
         }
         let own = self.state.accounts.get(&account).copied();
         if own.unwrap_or_default() >= self.state.limits.account_programs {
-            return Err(refuse(
+            return Err(refusal(
                 ErrorKind::AccountLimit,
-                "the account has too many programs",
+                "the account has reached its limit of programs",
             ));
         }
         Ok(())
     }
 
-    /// Creates a sub-agent and carves its budget from its parent's.
+    /// Creates a sub-agent and reserves its budget in the parent's budget.
     fn create_sub_agent(&mut self, new: &NewProgram) -> Result<ProgramId> {
         let parent_id = new.program;
         self.owned(parent_id, new.account)?;
         if let Some(id) = self.sub_agent_of_key(parent_id, new) {
-            return same(&self.state.programs[&id], new).map(|()| id);
+            return check_same_request(&self.state.programs[&id], new).map(|()| id);
         }
         let root_id = ProgramId::root(parent_id.root);
         let root = &self.state.programs[&root_id];
         let parent = &self.state.programs[&parent_id];
         if parent.ended_ms.is_some() {
-            return Err(refuse(ErrorKind::ProgramEnded, "the parent has ended"));
+            return Err(refusal(
+                ErrorKind::ProgramEnded,
+                "the parent program has ended",
+            ));
         }
         if root.sub_agents >= root.limits.sub_agents {
-            return Err(refuse(ErrorKind::ProgramLimit, "too many sub-agents"));
+            return Err(refusal(
+                ErrorKind::ProgramLimit,
+                "the program tree has reached its limit of sub-agents",
+            ));
         }
         if parent.depth >= root.limits.depth {
-            return Err(refuse(ErrorKind::ProgramLimit, "sub-agents nest too deep"));
+            return Err(refusal(
+                ErrorKind::ProgramLimit,
+                "the program tree has reached its limit of depth",
+            ));
         }
         if self.state.programs.len() >= self.state.limits.programs as usize {
-            return Err(refuse(ErrorKind::Overloaded, "the ledger group is full"));
+            return Err(refusal(ErrorKind::Overloaded, "the ledger group is full"));
         }
         let id = parent_id.sub_agent(root.sub_agents + 1);
         let mut child = Program::new(
@@ -217,9 +243,9 @@
             .budget
             .reserve(new.limits.budget)
         {
-            return Err(refuse(
+            return Err(refusal(
                 ErrorKind::BudgetExceeded,
-                "the parent's budget does not cover the grant",
+                "the parent's budget does not cover the budget of the sub-agent",
             ));
         }
         self.state.programs[&root_id].sub_agents += 1;
@@ -229,26 +255,32 @@
         Ok(id)
     }
 
-    /// The sub-agent of `parent` that a request with the same key created.
+    /// Sub-agent of `parent` that was created by a request with the same key.
     fn sub_agent_of_key(&self, parent: ProgramId, new: &NewProgram) -> Option<ProgramId> {
         let mut tree = self.tree(parent).skip(1);
         tree.find(|id| {
             let known = self.state.programs.get(id);
-            known.is_some_and(|it| it.parent == Some(parent.branch) && it.key == new.key)
+            known.is_some_and(|program| {
+                program.parent == Some(parent.branch) && program.key == new.key
+            })
         })
     }
 
-    /// Ends a program and everything below it.
+    /// Ends a program and all sub-agents below it.
     pub(crate) fn end(&mut self, id: ProgramId) {
-        let below: Vec<_> = self.tree(id).filter(|it| self.is_below(*it, id)).collect();
-        // Children first, so that each grant is back before its parent ends.
+        let below: Vec<_> = self
+            .tree(id)
+            .filter(|other| self.is_below(*other, id))
+            .collect();
+        // Children first, so that their grants are returned before the parent
+        // ends.
         for id in below.into_iter().rev() {
-            self.end_one(id);
+            self.end_single(id);
         }
         self.assert_program_invariants(id);
     }
 
-    /// Whether `id` is `ancestor` or below it.
+    /// Whether `id` is `ancestor` or a descendant of it.
     fn is_below(&self, id: ProgramId, ancestor: ProgramId) -> bool {
         let mut next = Some(id);
         while let Some(id) = next {
@@ -262,8 +294,8 @@
         false
     }
 
-    /// Ends one program; its open attempt may still settle.
-    fn end_one(&mut self, id: ProgramId) {
+    /// Ends a single program. Its open attempt may still be settled.
+    fn end_single(&mut self, id: ProgramId) {
         let now_ms = self.state.now_ms;
         let Some(program) = self.state.programs.get_mut(&id) else {
             return;
@@ -279,7 +311,8 @@
         self.return_grant(id);
     }
 
-    /// Gives back what an ended sub-agent can't use any more, and so upwards.
+    /// Returns the tokens that an ended sub-agent can no longer use to its
+    /// parent, and so on for each ended ancestor.
     pub(crate) fn return_grant(&mut self, id: ProgramId) {
         let mut next = Some(id);
         while let Some(id) = next {
@@ -308,8 +341,9 @@
     // -----------------------------------------------------------------------
     // Time
 
-    /// Moves the time on, then ends and forgets what is due.
-    fn advance(&mut self, at_ms: u64) {
+    /// Advances the time, ends expired programs and removes those whose
+    /// retention has passed.
+    fn advance_time(&mut self, at_ms: u64) {
         self.state.now_ms = self.state.now_ms.max(at_ms);
         for _ in 0..EXPIRE_BATCH {
             let Some((_, id)) = first_due(&self.state.expiries, self.state.now_ms) else {
@@ -329,7 +363,7 @@
         }
     }
 
-    /// Forgets a whole tree.
+    /// Removes a root program and all its sub-agents.
     pub(crate) fn forget(&mut self, root: ProgramId) {
         let tree: Vec<_> = self.tree(root).collect();
         for id in tree {
@@ -353,9 +387,9 @@
     }
 
     // -----------------------------------------------------------------------
-    // Asking
+    // Queries
 
-    /// A program with its history.
+    /// Returns the state and history of a program.
     fn show(&self, id: ProgramId, account: AccountId) -> Result<Box<ProgramStatus>> {
         let program = self.owned(id, account)?;
         Ok(Box::new(ProgramStatus {
@@ -369,26 +403,27 @@
         }))
     }
 
-    /// Whether a program has ended; one that is not known has ended long ago.
+    /// Whether a program has ended. An unknown program counts as ended: it was
+    /// removed after its retention.
     fn has_ended(&self, id: ProgramId) -> bool {
         let program = self.state.programs.get(&id);
         program.is_none_or(|program| program.ended_ms.is_some())
     }
 }
 
-/// Accepts a resend and refuses other content under the same identity.
-fn same(known: &Program, new: &NewProgram) -> Result<()> {
+/// Accepts a resend, and refuses a request with another key or other limits.
+fn check_same_request(known: &Program, new: &NewProgram) -> Result<()> {
     if known.matches_request(new) {
         Ok(())
     } else {
-        Err(refuse(
+        Err(refusal(
             ErrorKind::Conflict,
-            "the key was used before for another program",
+            "the program was created with another key or other limits",
         ))
     }
 }
 
-/// First item of a queue whose time is `now_ms` or earlier.
+/// First item of a queue, if its time is `now_ms` or earlier.
 fn first_due(queue: &BTreeSet<(u64, ProgramId)>, now_ms: u64) -> Option<(u64, ProgramId)> {
     queue.first().copied().filter(|(due, _)| *due <= now_ms)
 }
@@ -401,13 +436,13 @@
     type Snapshot = LedgerSnapshot<H::Snapshot>;
 
     fn apply(&mut self, index: LogIndex, epoch: Epoch, command: Command) -> Reply {
-        self.advance(command.at_ms);
+        self.advance_time(command.at_ms);
         match command.op {
             Op::Create(new) => match self.create(&new) {
                 Ok(id) => Reply::Created(id),
                 Err(err) => Reply::Refused(err),
             },
-            Op::Begin(begin) => Reply::Begin(self.begin(Position { index, epoch }, begin)),
+            Op::Begin(begin) => Reply::Begin(self.begin(LogPosition { index, epoch }, begin)),
             Op::Settle(settle) => self.settle(settle),
             Op::GiveUp(id, key) => {
                 self.give_up(id, key);
@@ -454,7 +489,7 @@
     }
 }
 
-/// A copy of a ledger.
+/// Snapshot of a ledger.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LedgerSnapshot<S> {
     state: State,
--- a/crates/quay_ledger/src/lib.rs
+++ b/crates/quay_ledger/src/lib.rs
@@ -1,8 +1,9 @@
 //! Programs, budgets, permits and outcomes as a replicated state machine.
 //!
-//! [`Ledger`] decides what may run: the calls of a program in order, each under
-//! a permit for one attempt, within the program's budget and limits; and it
-//! records how each ended, so that a resend gets the recorded answer.
+//! [`Ledger`] decides which calls may run: the calls of a program run in order,
+//! each attempt needs a permit, and all stay within the program's budget and
+//! limits. The ledger records the outcome of each call, so that a resend gets
+//! the recorded answer.
 //!
 //! ```
 //! use quay_ledger::{Command, Ledger, LedgerLimits, MemoryHistory, Op, Reply};
@@ -21,7 +22,7 @@
 //! let command = Command { at_ms: 0, op: Op::Create(new) };
 //! let reply = ledger.apply(LogIndex(1), Epoch(1), command.clone());
 //! assert_eq!(reply, Reply::Created(ProgramId::root(7)));
-//! // A resend finds the same program.
+//! // A resend returns the existing program.
 //! assert_eq!(ledger.apply(LogIndex(2), Epoch(1), command), reply);
 //! ```
 
@@ -46,7 +47,7 @@
 
 use quay_types::{Error, ErrorKind};
 
-/// A refusal that changes nothing.
-fn refuse(kind: ErrorKind, message: impl Into<Box<str>>) -> Error {
+/// Error for a request that is refused without changing the state.
+fn refusal(kind: ErrorKind, message: impl Into<Box<str>>) -> Error {
     Error::new(kind, message)
 }
--- a/crates/quay_ledger/src/permit_registry.rs
+++ b/crates/quay_ledger/src/permit_registry.rs
@@ -1,4 +1,4 @@
-//! What one run of a sidecar knows of the permits it was shown.
+//! Registry of the permits that one incarnation of a sidecar has received.
 
 use {
     quay_types::{
@@ -8,38 +8,41 @@
     std::collections::{BTreeMap, VecDeque},
 };
 
-/// Permits of one ledger group that are remembered, besides those in use.
+/// Permits retained per ledger group; running ones are never evicted.
 const MAX_PERMITS: usize = 4_096;
 
-/// Bytes of answers that are kept for those who ask about an ended attempt.
-const MAX_KEPT_BYTES: usize = 4 << 20;
+/// Bytes of answers of ended attempts that are retained for later queries.
+const MAX_RETAINED_BYTES: usize = 4 << 20;
 
-/// What became of a permit.
-enum State {
-    /// Queued or running.
+/// State of a permit.
+enum PermitState {
+    /// The attempt is queued or running.
     Running,
-    /// Never used, and never to be used.
+    /// The permit was not used and never will be.
     Refused,
-    /// Ran and ended; the answer is kept if it was small enough.
+    /// The attempt ran and ended; its answer is retained if space allows.
     Ended(Option<Box<CallEvent>>),
 }
 
-/// The permits of one ledger group.
+/// Permits of one ledger group.
 #[derive(Default)]
 struct GroupPermits {
-    /// A permit below this that is not in `states` may have been used and
-    /// forgotten; it is never run. Only rises.
+    /// Lower bound of the indexes that are fully recorded. A permit below the
+    /// floor that is not in `states` may have been used and evicted, so it is
+    /// never run. Never decreases.
     floor: LogIndex,
-    /// Every permit at or above the floor that was shown or asked about, and
-    /// those in use below it.
-    states: BTreeMap<LogIndex, State>,
+    /// All permits at or above the floor that were received or queried, and
+    /// the running permits below it.
+    states: BTreeMap<LogIndex, PermitState>,
 }
 
 impl GroupPermits {
-    /// Forgets the oldest permits over the bound and raises the floor past them.
-    fn forget_oldest(&mut self) {
+    /// Evicts the oldest permits that are not running, down to the limit, and
+    /// raises the floor above them.
+    fn evict_oldest(&mut self) {
         while self.states.len() > MAX_PERMITS {
-            let idle = |(_, state): &(&LogIndex, &State)| !matches!(state, State::Running);
+            let idle =
+                |(_, state): &(&LogIndex, &PermitState)| !matches!(state, PermitState::Running);
             let Some((oldest, _)) = self.states.iter().find(idle) else {
                 return;
             };
@@ -50,87 +53,96 @@
     }
 }
 
-/// Uses each permit at most once.
+/// Registry that admits each permit at most once.
 ///
-/// The book dies with its process: a later run has another incarnation and
-/// refuses every permit of this one.
+/// The registry is not persisted: after a restart the sidecar has another
+/// incarnation and refuses all permits of the previous one.
 pub struct PermitRegistry {
     upstream: UpstreamId,
     incarnation: Incarnation,
     groups: BTreeMap<GroupId, GroupPermits>,
-    /// Permits whose answers are kept, oldest first, with their sizes.
-    kept: VecDeque<(PermitId, usize)>,
-    /// Sum of the sizes in `kept`; at most [`MAX_KEPT_BYTES`].
-    kept_bytes: usize,
+    /// Permits with a retained answer, oldest first, and the answers' sizes in
+    /// bytes.
+    retained: VecDeque<(PermitId, usize)>,
+    /// Sum of the sizes in `retained`; at most [`MAX_RETAINED_BYTES`].
+    retained_bytes: usize,
 }
 
 impl PermitRegistry {
-    /// The empty book of a new run.
+    /// Creates an empty registry for a new incarnation.
     #[must_use]
     pub const fn new(upstream: UpstreamId, incarnation: Incarnation) -> Self {
         Self {
             upstream,
             incarnation,
             groups: BTreeMap::new(),
-            kept: VecDeque::new(),
-            kept_bytes: 0,
+            retained: VecDeque::new(),
+            retained_bytes: 0,
         }
     }
 
-    /// Uses a permit.
+    /// Marks a permit as used, so that its attempt may run.
     ///
     /// # Errors
     ///
-    /// The event to answer with: [`CallEvent::Refused`] only if the permit was
-    /// never used here and never will be.
+    /// Returns the event to answer with. [`CallEvent::Refused`] means that the
+    /// permit was not used by this incarnation and never will be.
     pub fn admit(&mut self, permit: Option<&Permit>) -> Result<PermitId, CallEvent> {
         let Some(permit) = permit else {
-            return Err(refused("the call has no permit"));
+            return Err(refused_event("the call carries no permit"));
         };
         if permit.upstream != self.upstream || permit.incarnation != self.incarnation {
-            return Err(refused("the permit is for another run of a sidecar"));
+            return Err(refused_event(
+                "the permit is for another sidecar or incarnation",
+            ));
         }
         let group = self.groups.entry(permit.id.group).or_default();
         match group.states.get(&permit.id.index) {
-            Some(State::Refused) => Err(refused("the permit was marked as refused")),
-            Some(State::Running | State::Ended(_)) => Err(unknown("the permit was used before")),
-            None if permit.id.index < group.floor => Err(unknown("the permit is too old")),
+            Some(PermitState::Refused) => Err(refused_event("the permit is marked as refused")),
+            Some(PermitState::Running | PermitState::Ended(_)) => {
+                Err(outcome_unknown_event("the permit was already used"))
+            }
+            None if permit.id.index < group.floor => Err(outcome_unknown_event(
+                "the permit is too old to tell whether it was used",
+            )),
             None => {
-                group.states.insert(permit.id.index, State::Running);
-                group.forget_oldest();
+                group.states.insert(permit.id.index, PermitState::Running);
+                group.evict_oldest();
                 Ok(permit.id)
             }
         }
     }
 
-    /// Notes that an attempt was turned away before it ran.
+    /// Records that an attempt was refused before it ran.
     pub fn refuse(&mut self, id: PermitId) {
-        self.set(id, State::Refused);
+        self.set_state(id, PermitState::Refused);
     }
 
-    /// Notes that an attempt has ended, with its answer if somebody may ask for it.
+    /// Records that an attempt has ended, with its answer if it may be queried
+    /// later.
     pub fn end(&mut self, id: PermitId, answer: Option<CallEvent>) {
-        let bytes = answer.as_ref().map_or(0, size);
-        let answer = answer.filter(|_| bytes <= MAX_KEPT_BYTES).map(Box::new);
+        let bytes = answer.as_ref().map_or(0, retained_size);
+        let answer = answer.filter(|_| bytes <= MAX_RETAINED_BYTES).map(Box::new);
         if answer.is_some() {
-            self.kept.push_back((id, bytes));
-            self.kept_bytes += bytes;
+            self.retained.push_back((id, bytes));
+            self.retained_bytes += bytes;
         }
-        self.set(id, State::Ended(answer));
-        while self.kept_bytes > MAX_KEPT_BYTES {
-            let Some((oldest, bytes)) = self.kept.pop_front() else {
+        self.set_state(id, PermitState::Ended(answer));
+        while self.retained_bytes > MAX_RETAINED_BYTES {
+            let Some((oldest, bytes)) = self.retained.pop_front() else {
                 return;
             };
-            self.kept_bytes -= bytes;
+            self.retained_bytes -= bytes;
             let state = self.state_mut(oldest);
-            if let Some(State::Ended(answer)) = state {
+            if let Some(PermitState::Ended(answer)) = state {
                 *answer = None;
             }
         }
     }
 
-    /// Tells what became of a permit; one that was never shown is marked as
-    /// refused first. The answer of an ended attempt comes with it, if kept.
+    /// Returns the status of a permit, and the answer of an ended attempt if it
+    /// is retained. A permit that was never received is first marked as
+    /// refused.
     pub fn query(
         &mut self,
         id: PermitId,
@@ -141,49 +153,52 @@
         }
         let group = self.groups.entry(id.group).or_default();
         match group.states.get(&id.index) {
-            Some(State::Running) => (PermitStatus::Running, None),
-            Some(State::Refused) => (PermitStatus::Refused, None),
-            Some(State::Ended(answer)) => (PermitStatus::Ended, answer.as_deref().cloned()),
+            Some(PermitState::Running) => (PermitStatus::Running, None),
+            Some(PermitState::Refused) => (PermitStatus::Refused, None),
+            Some(PermitState::Ended(answer)) => (PermitStatus::Ended, answer.as_deref().cloned()),
             None if id.index < group.floor => (PermitStatus::Unknown, None),
             None => {
-                group.states.insert(id.index, State::Refused);
-                group.forget_oldest();
+                group.states.insert(id.index, PermitState::Refused);
+                group.evict_oldest();
                 (PermitStatus::Refused, None)
             }
         }
     }
 
-    /// Permits that are remembered.
+    /// Number of recorded permits.
     #[must_use]
     pub fn len(&self) -> usize {
         self.groups.values().map(|group| group.states.len()).sum()
     }
 
-    /// Whether no permit is remembered.
+    /// Whether no permit is recorded.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The state of a permit in the book.
-    fn state_mut(&mut self, id: PermitId) -> Option<&mut State> {
+    /// State of a recorded permit.
+    fn state_mut(&mut self, id: PermitId) -> Option<&mut PermitState> {
         self.groups.get_mut(&id.group)?.states.get_mut(&id.index)
     }
 
-    /// Changes the state of a permit in use.
-    fn set(&mut self, id: PermitId, state: State) {
+    /// Sets the final state of a running permit.
+    fn set_state(&mut self, id: PermitId, state: PermitState) {
         if let Some(slot) = self.state_mut(id) {
-            debug_assert!(matches!(slot, State::Running), "a permit ends once");
+            debug_assert!(
+                matches!(slot, PermitState::Running),
+                "the permit is not running"
+            );
             *slot = state;
         }
         if let Some(group) = self.groups.get_mut(&id.group) {
-            group.forget_oldest();
+            group.evict_oldest();
         }
     }
 }
 
-/// Bytes that a kept answer counts for.
-fn size(event: &CallEvent) -> usize {
+/// Size of a retained answer, in bytes.
+fn retained_size(event: &CallEvent) -> usize {
     const OVERHEAD: usize = 64;
     match event {
         CallEvent::Body { body, .. } => body.len() + OVERHEAD,
@@ -191,12 +206,12 @@
     }
 }
 
-/// The attempt never ran and never will.
-fn refused(text: &str) -> CallEvent {
+/// Event for an attempt that did not run and never will.
+fn refused_event(text: &str) -> CallEvent {
     CallEvent::Refused(Error::new(ErrorKind::PermitRefused, text))
 }
 
-/// The attempt may have run.
-fn unknown(text: &str) -> CallEvent {
+/// Event for an attempt that may have run.
+fn outcome_unknown_event(text: &str) -> CallEvent {
     CallEvent::Failed(Error::new(ErrorKind::OutcomeUnknown, text))
 }
--- a/crates/quay_ledger/src/program.rs
+++ b/crates/quay_ledger/src/program.rs
@@ -1,4 +1,4 @@
-//! Record of one program, without its history.
+//! Record of a program, without its history.
 
 use {
     crate::Budget,
@@ -9,88 +9,91 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Lost attempts that a program may have at a time.
+/// Maximum number of lost attempts of a program at a time.
 const MAX_LOST: usize = 64;
 
-/// The open call of a program.
+/// Open call of a program.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OpenCall {
     /// Identity of the call across resends.
     pub key: RequestKey,
-    /// Digest of its content.
+    /// Digest of the call's content.
     pub digest: ContentDigest,
-    /// Whether it may run more than once.
+    /// Whether the call may run more than once.
     pub idempotent: bool,
-    /// Permits that were issued for it.
+    /// Number of permits issued for the call.
     pub attempts: u32,
-    /// Time of the last permit, in milliseconds.
+    /// Time at which the last permit was issued, in milliseconds since the Unix
+    /// epoch.
     pub issued_ms: u64,
-    /// The permit in use; `None` if the last one was refused or lost.
+    /// Permit in use; `None` if the last permit was refused or its attempt was
+    /// lost.
     pub active_permit: Option<Permit>,
-    /// Whether its caller was told that it ended without a whole answer. It
-    /// may be sent again, and no later call waits for it.
+    /// Whether the caller was told that the call ended without a complete
+    /// answer. The call may be sent again, and no later call waits for it.
     pub given_up: bool,
 }
 
-/// An attempt of which nobody knows whether its upstream has stopped.
+/// Attempt that may still be running on its upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LostAttempt {
-    /// Its permit.
+    /// Permit of the attempt.
     pub permit: PermitId,
-    /// Its call.
+    /// Number of the call.
     pub number: CallNumber,
-    /// Tokens that stay set aside for it.
+    /// Tokens that stay reserved for the attempt.
     pub reserved: Tokens,
 }
 
-/// Record of one program.
+/// Record of a program.
 ///
-/// Closed calls are known here by 8 bytes of their key; the rest of them is in
-/// the history.
+/// For closed calls, the record holds only 8 bytes of the key; everything else
+/// is in the history.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Program {
-    /// Account that owns it.
+    /// Account that owns the program.
     pub account: AccountId,
-    /// Key of the request that created it.
+    /// Key of the request that created the program.
     pub key: RequestKey,
-    /// Limits as they were asked for.
+    /// Limits as requested.
     pub limits: ProgramLimits,
-    /// Tokens.
+    /// Token budget.
     pub budget: Budget,
-    /// Time at which it ends at the latest, in milliseconds.
+    /// Time at which the program expires, in milliseconds since the Unix epoch.
     pub expires_ms: u64,
-    /// Time at which it has ended, in milliseconds.
+    /// Time at which the program ended, in milliseconds since the Unix epoch;
+    /// `None` while it is open.
     pub ended_ms: Option<u64>,
-    /// Number of the parent's branch; `None` for a root.
+    /// Branch number of the parent; `None` for a root.
     pub parent: Option<u32>,
     /// Levels below the root.
     pub depth: u8,
-    /// Whether the budget is still carved from the parent's.
+    /// Whether the program's budget is still reserved in its parent's budget.
     pub grant_open: bool,
-    /// Whether it was created by its only call and ends with it.
+    /// Whether the program was created by a standalone call and ends with it.
     pub implicit: bool,
-    /// Sub-agents that were created; counted in the root only.
+    /// Number of sub-agents ever created in the tree; counted in the root only.
     pub sub_agents: u32,
     /// Fingerprints of the keys of all calls, in order.
     pub calls: Vec<u64>,
-    /// The open call, which is the last one.
+    /// Open call, if any; always the last call.
     pub open: Option<Box<OpenCall>>,
-    /// Attempts that may still run.
+    /// Lost attempts, which may still be running.
     pub lost: Vec<LostAttempt>,
-    /// No later call starts before, in milliseconds: until then a call whose
-    /// outcome is unknown may still start.
+    /// Earliest time at which a later call may start, in milliseconds since the
+    /// Unix epoch: before, a call with an unknown outcome may still start.
     pub next_start_ms: u64,
 }
 
 /// First eight bytes of a key.
 pub const fn fingerprint(key: RequestKey) -> u64 {
-    #[allow(clippy::cast_possible_truncation)] // The upper half is what is wanted.
+    #[allow(clippy::cast_possible_truncation)] // Only the upper half is needed.
     let upper = (key.0 >> 64) as u64;
     upper
 }
 
 impl Program {
-    /// A program without calls.
+    /// Creates a program without calls.
     #[must_use]
     pub fn new(new: &NewProgram, now_ms: u64, parent: Option<u32>, depth: u8) -> Self {
         let lifetime_ms = u64::from(new.limits.lifetime_s) * 1_000;
@@ -113,19 +116,19 @@
         }
     }
 
-    /// Whether `new` asks for what this program already is.
+    /// Whether `new` has the key and limits with which this program was created.
     #[must_use]
     pub fn matches_request(&self, new: &NewProgram) -> bool {
         self.key == new.key && self.limits == new.limits
     }
 
-    /// Number of the last call; 0 if there is none.
+    /// Number of the last call; 0 if the program has no calls.
     #[must_use]
     pub fn last_call(&self) -> CallNumber {
         CallNumber(u32::try_from(self.calls.len()).unwrap_or(u32::MAX))
     }
 
-    /// Numbers of calls whose keys may be `key`, the latest first.
+    /// Numbers of the calls whose key fingerprint matches `key`, latest first.
     pub fn candidates(&self, key: RequestKey) -> impl Iterator<Item = CallNumber> + '_ {
         let wanted = fingerprint(key);
         let slots = (0..self.calls.len()).rev();
@@ -134,7 +137,7 @@
             .map(|slot| CallNumber(u32::try_from(slot + 1).unwrap_or(u32::MAX)))
     }
 
-    /// Moves the permit in use, if any, to those that may still run.
+    /// Moves the attempt of the active permit, if any, to the lost attempts.
     pub fn mark_active_lost(&mut self) {
         let number = self.last_call();
         let Some(permit) = self
@@ -161,31 +164,31 @@
         active || self.lost.iter().any(|lost| lost.number == self.last_call())
     }
 
-    /// Whether another attempt may be lost without going over the bound.
+    /// Whether one more attempt may be lost without exceeding the limit.
     #[must_use]
     pub fn can_lose_attempt(&self) -> bool {
         self.lost.len() < MAX_LOST
     }
 
-    /// Asserts what holds for one program by itself; `granted` is what its
-    /// sub-agents hold of its budget.
+    /// Asserts the invariants of a single program. `granted` is the number of
+    /// tokens of its budget that its sub-agents hold.
     pub fn assert_invariants(&self, granted: u64) {
         let active = self
             .open
             .iter()
             .filter_map(|call| call.active_permit)
             .count();
-        assert!(active <= 1, "one permit in use a program");
+        assert!(active <= 1, "a program has at most one active permit");
         if let Some(call) = &self.open {
             assert_eq!(
                 self.calls.last().copied(),
                 Some(fingerprint(call.key)),
-                "the open call is the last one"
+                "the open call is the last call"
             );
             let lost = self.lost.iter().any(|lost| lost.number == self.last_call());
             assert!(
                 call.idempotent || !lost,
-                "a call that may not run twice has one permit that isn't refused"
+                "a call that may not run twice has a second permit after a lost attempt"
             );
         }
         let open = self.open.iter().filter_map(|call| call.active_permit);
@@ -194,8 +197,11 @@
         assert_eq!(
             self.budget.reserved().0,
             attempts + lost + granted,
-            "reservations add up"
+            "reserved tokens equal those of open and lost attempts and grants"
+        );
+        assert!(
+            self.calls.len() <= self.limits.turns as usize,
+            "more calls than the turn limit"
         );
-        assert!(self.calls.len() <= self.limits.turns as usize, "turn limit");
     }
 }
--- a/crates/quay_ledger/src/settings.rs
+++ b/crates/quay_ledger/src/settings.rs
@@ -1,21 +1,22 @@
-//! Bounds of a ledger group.
+//! Limits of a ledger group.
 
 use serde::{Deserialize, Serialize};
 
-/// Bounds of a ledger group. They must be the same on every replica.
+/// Limits of a ledger group. All replicas must use the same values.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LedgerLimits {
-    /// Programs that the group keeps, ended ones too.
+    /// Maximum number of programs in the group, including ended ones.
     pub programs: u32,
-    /// Root programs of one account that the group keeps, ended ones too.
+    /// Maximum number of root programs per account, including ended ones.
     pub account_programs: u32,
-    /// Seconds for which an ended program and its outcomes are kept.
+    /// Seconds for which an ended program and its outcomes are retained.
     pub retention_s: u32,
-    /// Milliseconds after which a call that must wait asks again.
+    /// Milliseconds after which a call that has to wait asks again.
     pub wait_ms: u32,
-    /// Milliseconds after its permit for which a call that may not run twice
-    /// may still start. Entries and sidecars keep to it by their own clocks;
-    /// this leaves room for how far the clocks of two leaders differ.
+    /// Milliseconds after the issue of its permit for which a call that may not
+    /// run twice may still start. Entries and sidecars enforce the limit by
+    /// their own clocks; the value includes a margin for the clock difference
+    /// between two leaders.
     pub start_limit_ms: u32,
 }
 
--- a/crates/quay_ledger/tests/common/mod.rs
+++ b/crates/quay_ledger/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A ledger with short ways to command it.
-#![allow(dead_code)] // Each test file uses a part of it.
+//! Test harness around a ledger, and constructors of requests.
+#![allow(dead_code)] // Each test file uses only some of the helpers.
 
 use {
     quay_ledger::{Answer, Command, Ledger, LedgerLimits, MemoryHistory, Op, Query, Reply},
@@ -14,14 +14,14 @@
 pub const OWNER: AccountId = AccountId(1);
 pub const ROOT: ProgramId = ProgramId::root(7);
 
-/// A ledger that counts its log entries.
-pub struct Bench {
+/// Ledger with the current log index and time.
+pub struct LedgerHarness {
     pub ledger: Ledger<MemoryHistory>,
     pub index: u64,
     pub now_ms: u64,
 }
 
-impl Bench {
+impl LedgerHarness {
     pub fn new(limits: LedgerLimits) -> Self {
         Self {
             ledger: Ledger::new(GroupId(1), limits),
@@ -30,12 +30,12 @@
         }
     }
 
-    /// A ledger with one root program.
+    /// Creates a ledger with one root program.
     pub fn with_root(limits: ProgramLimits) -> Self {
-        let mut bench = Self::new(LedgerLimits::default());
-        let created = bench.apply(Op::Create(new_root(ROOT, limits)));
+        let mut harness = Self::new(LedgerLimits::default());
+        let created = harness.apply(Op::Create(new_root(ROOT, limits)));
         assert_eq!(created, Reply::Created(ROOT));
-        bench
+        harness
     }
 
     pub fn apply(&mut self, op: Op) -> Reply {
@@ -54,7 +54,7 @@
         }
     }
 
-    pub fn go(&mut self, begin: Begin) -> Permit {
+    pub fn begin_granted(&mut self, begin: Begin) -> Permit {
         match self.begin(begin) {
             BeginReply::Granted { permit, .. } => permit,
             other => panic!("{other:?}"),
@@ -105,12 +105,13 @@
     }
 }
 
-/// A key whose fingerprint differs from that of every other small number.
+/// Request key; its fingerprint is `number`, so different numbers have different
+/// fingerprints.
 pub fn key(number: u64) -> RequestKey {
     RequestKey(u128::from(number) << 64 | 1)
 }
 
-/// A call of the root that reserves 100 tokens and may run more than once.
+/// Call of the root program that reserves 100 tokens and may run more than once.
 pub fn call(number: u64) -> Begin {
     Begin {
         program: ROOT,
@@ -127,7 +128,7 @@
     }
 }
 
-/// As [`call`], but it may not run twice.
+/// Like [`call`], but the call may not run twice.
 pub fn once(number: u64) -> Begin {
     Begin {
         idempotent: false,
--- a/crates/quay_ledger/tests/random_run.rs
+++ b/crates/quay_ledger/tests/random_run.rs
@@ -1,10 +1,10 @@
-//! Long seeded runs and generated command sequences; the ledger asserts its
-//! own invariants, and a small model of the callers checks its answers.
+//! Applies long random command sequences to the ledger. The ledger asserts its
+//! own invariants, and a model of the callers checks the replies.
 
 mod common;
 
 use {
-    common::{Bench, OWNER, completed, key, limits, new_root},
+    common::{LedgerHarness, OWNER, completed, key, limits, new_root},
     indexmap::IndexMap,
     proptest::prelude::*,
     quay_ledger::{Command, Ledger, LedgerLimits, LedgerSnapshot, MemoryHistory, Op, Reply},
@@ -21,34 +21,35 @@
 const SEED: u64 = 4;
 const STEPS: u64 = 100_000;
 const PROGRAMS: u64 = 12;
-const STEPS_A_PROGRAM: u64 = 100;
+const STEPS_PER_PROGRAM: u64 = 100;
 const RECENT_KEYS: usize = 100;
 
-/// What the callers have been told of one key.
+/// State of a call as known to its callers from the replies.
 #[derive(Default)]
-struct Told {
+struct CallView {
     permits: Vec<Permit>,
     refused: Vec<PermitId>,
     outcome: Option<Outcome>,
-    live: Option<PermitId>,
+    active_permit: Option<PermitId>,
     given_up: bool,
 }
 
-/// Callers with their own view of what must hold.
-struct Callers {
+/// Model of the callers. Generates operations and checks the ledger's replies
+/// against all earlier replies.
+struct CallerModel {
     rng: ChaCha8Rng,
     step: u64,
-    told: IndexMap<(ProgramId, RequestKey), Told>,
+    calls: IndexMap<(ProgramId, RequestKey), CallView>,
     open: IndexMap<ProgramId, RequestKey>,
-    go: u32,
+    granted: u32,
     replays: u32,
     superseded: u32,
 }
 
-impl Callers {
-    /// A root of the few in use now; they change in the course of the run.
+impl CallerModel {
+    /// Random root program from a window that moves in the course of the run.
     fn root(&mut self) -> ProgramId {
-        let first = self.step / STEPS_A_PROGRAM;
+        let first = self.step / STEPS_PER_PROGRAM;
         ProgramId::root(self.rng.random_range(first..first + PROGRAMS))
     }
 
@@ -97,15 +98,15 @@
         }
     }
 
-    /// Settles some permit, also one that was settled before.
+    /// Settles a random permit, which may already be settled.
     fn settle(&mut self) -> Op {
-        if self.told.is_empty() {
+        if self.calls.is_empty() {
             return Op::Expire;
         }
-        let recent = self.told.len().min(RECENT_KEYS);
-        let slot = self.told.len() - 1 - self.rng.random_range(0..recent);
-        let ((program, _), told) = self.told.get_index(slot).expect("slot");
-        let (program, permits) = (*program, told.permits.clone());
+        let recent = self.calls.len().min(RECENT_KEYS);
+        let slot = self.calls.len() - 1 - self.rng.random_range(0..recent);
+        let ((program, _), call) = self.calls.get_index(slot).expect("slot");
+        let (program, permits) = (*program, call.permits.clone());
         if permits.is_empty() {
             return Op::Expire;
         }
@@ -117,78 +118,85 @@
         })
     }
 
-    /// Checks an answer against all that was told before.
-    fn hear(&mut self, op: &Op, reply: &Reply) {
+    /// Checks a reply against all earlier replies.
+    fn check_reply(&mut self, op: &Op, reply: &Reply) {
         match (op, reply) {
-            (Op::Begin(begin), Reply::Begin(reply)) => self.hear_begin(begin, reply),
-            (Op::Settle(settle), reply) => self.hear_settle(settle, reply),
+            (Op::Begin(begin), Reply::Begin(reply)) => self.check_begin(begin, reply),
+            (Op::Settle(settle), reply) => self.check_settle(settle, reply),
             (Op::GiveUp(program, key), _) if self.open.get(program) == Some(key) => {
-                let told = &mut self.told[&(*program, *key)];
-                told.given_up = told.live.is_none();
+                let call = &mut self.calls[&(*program, *key)];
+                call.given_up = call.active_permit.is_none();
             }
             _ => {}
         }
     }
 
-    /// Takes note that a call which was given up makes room for another.
-    fn pass_over(&mut self, program: ProgramId, key: RequestKey) {
+    /// Checks that the previous open call was given up when another call starts.
+    fn resolve_given_up(&mut self, program: ProgramId, key: RequestKey) {
         let Some(open) = self.open.get(&program).copied().filter(|open| *open != key) else {
             return;
         };
-        let told = &mut self.told[&(program, open)];
-        assert!(told.given_up, "two open calls");
-        told.given_up = false;
-        if told.permits.len() > told.refused.len() {
-            told.outcome = Some(Outcome::Unknown);
+        let call = &mut self.calls[&(program, open)];
+        assert!(
+            call.given_up,
+            "a second call was opened although the first was not given up"
+        );
+        call.given_up = false;
+        if call.permits.len() > call.refused.len() {
+            call.outcome = Some(Outcome::Unknown);
         }
     }
 
-    fn hear_begin(&mut self, begin: &Begin, reply: &BeginReply) {
+    fn check_begin(&mut self, begin: &Begin, reply: &BeginReply) {
         if matches!(reply, BeginReply::Granted { .. }) {
-            self.pass_over(begin.program, begin.key);
+            self.resolve_given_up(begin.program, begin.key);
         }
-        let told = self.told.entry((begin.program, begin.key)).or_default();
+        let call = self.calls.entry((begin.program, begin.key)).or_default();
         match reply {
             BeginReply::Granted { permit, .. } => {
-                assert_eq!(told.outcome, None, "an ended call runs again");
+                assert_eq!(call.outcome, None, "an ended call got another permit");
                 assert!(
-                    begin.idempotent || told.permits.len() == told.refused.len(),
-                    "two permits for a call that may not run twice"
+                    begin.idempotent || call.permits.len() == call.refused.len(),
+                    "a call that may not run twice got a second permit"
                 );
                 self.open.insert(begin.program, begin.key);
-                told.permits.push(*permit);
-                told.live = Some(permit.id);
-                told.given_up = false;
-                self.go += 1;
+                call.permits.push(*permit);
+                call.active_permit = Some(permit.id);
+                call.given_up = false;
+                self.granted += 1;
             }
             BeginReply::Replay(outcome) => {
-                assert_eq!(told.outcome.as_ref(), Some(outcome), "a replay differs");
+                assert_eq!(
+                    call.outcome.as_ref(),
+                    Some(outcome),
+                    "a replay differs from the recorded outcome"
+                );
                 self.replays += 1;
             }
-            BeginReply::Running(permit) => assert_eq!(told.permits.last(), Some(permit)),
+            BeginReply::Running(permit) => assert_eq!(call.permits.last(), Some(permit)),
             BeginReply::Wait(_) | BeginReply::Refused(_) => {}
         }
     }
 
-    fn hear_settle(&mut self, settle: &Settle, reply: &Reply) {
-        let told = &mut self.told[&(settle.program, settle.permit.key)];
-        if told.live == Some(settle.permit.id) {
-            told.live = None;
+    fn check_settle(&mut self, settle: &Settle, reply: &Reply) {
+        let call = &mut self.calls[&(settle.program, settle.permit.key)];
+        if call.active_permit == Some(settle.permit.id) {
+            call.active_permit = None;
         }
         match reply {
             Reply::Superseded(outcome) => {
-                assert_eq!(told.outcome.as_ref(), Some(outcome));
+                assert_eq!(call.outcome.as_ref(), Some(outcome));
                 self.superseded += 1;
             }
-            Reply::Done if told.outcome.is_none() => {
+            Reply::Done if call.outcome.is_none() => {
                 let idempotent = (settle.permit.key.0 >> 64).is_multiple_of(2);
-                let refused = told.refused.contains(&settle.permit.id);
+                let refused = call.refused.contains(&settle.permit.id);
                 match settle.outcome {
-                    Outcome::NotRun if !refused => told.refused.push(settle.permit.id),
+                    Outcome::NotRun if !refused => call.refused.push(settle.permit.id),
                     Outcome::NotRun => {}
                     Outcome::Unknown if idempotent || refused => {}
                     _ => {
-                        told.outcome = Some(settle.outcome.clone());
+                        call.outcome = Some(settle.outcome.clone());
                         self.open.swap_remove(&settle.program);
                     }
                 }
@@ -199,62 +207,63 @@
 }
 
 #[test]
-fn a_long_random_run_keeps_every_promise() {
-    let mut bench = Bench::new(LedgerLimits {
-        // Nothing is forgotten in this run, so the callers' view stays whole.
+fn a_long_random_run_gives_consistent_replies() {
+    let mut harness = LedgerHarness::new(LedgerLimits {
+        // The ledger removes no program during the run, so that the callers' view
+        // stays complete.
         retention_s: u32::MAX,
         ..LedgerLimits::default()
     });
-    let mut callers = Callers {
+    let mut model = CallerModel {
         rng: ChaCha8Rng::seed_from_u64(SEED),
         step: 0,
-        told: IndexMap::new(),
+        calls: IndexMap::new(),
         open: IndexMap::new(),
-        go: 0,
+        granted: 0,
         replays: 0,
         superseded: 0,
     };
     for step in 0..STEPS {
-        callers.step = step;
-        let op = callers.op();
-        let reply = bench.apply(op.clone());
-        callers.hear(&op, &reply);
+        model.step = step;
+        let op = model.op();
+        let reply = harness.apply(op.clone());
+        model.check_reply(&op, &reply);
         if step % 1_000 == 0 {
-            bench.ledger.assert_invariants();
-            let bytes = postcard::to_stdvec(&bench.ledger.snapshot()).expect("encode");
+            harness.ledger.assert_invariants();
+            let bytes = postcard::to_stdvec(&harness.ledger.snapshot()).expect("encode");
             let copy: LedgerSnapshot<_> = postcard::from_bytes(&bytes).expect("decode");
-            bench.ledger.restore(copy);
+            harness.ledger.restore(copy);
         }
     }
-    let seen = (callers.go, callers.replays, callers.superseded);
+    let seen = (model.granted, model.replays, model.superseded);
     assert!(seen.0.min(seen.1).min(seen.2) > 500, "{seen:?}");
 }
 
-/// A command of a generated sequence, by small numbers.
+/// Operation of a generated sequence, described by small numbers.
 #[derive(Debug, Clone)]
 enum Step {
     Create(u64),
-    Grant(u64, u32, u64),
+    CreateSubAgent(u64, u32, u64),
     Begin(u64, u32, u64, u64),
     SettleLast(usize, u8),
     End(u64, u32),
-    Pass(u64),
+    AdvanceTime(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         (1..3u64).prop_map(Step::Create),
         (1..3u64, 0..2u32, 0..400u64)
-            .prop_map(|(root, branch, budget)| Step::Grant(root, branch, budget)),
+            .prop_map(|(root, branch, budget)| Step::CreateSubAgent(root, branch, budget)),
         (1..3u64, 0..3u32, 1..5u64, 0..300u64)
             .prop_map(|(root, branch, number, reserve)| Step::Begin(root, branch, number, reserve)),
         (0..4usize, 0..4u8).prop_map(|(back, outcome)| Step::SettleLast(back, outcome)),
         (1..3u64, 0..3u32).prop_map(|(root, branch)| Step::End(root, branch)),
-        (0..40_000u64).prop_map(Step::Pass),
+        (0..40_000u64).prop_map(Step::AdvanceTime),
     ]
 }
 
-/// The operation of a step; permits come from earlier replies.
+/// Ledger operation of a step; `permits` are those of earlier replies.
 fn op_of(step: &Step, permits: &[(ProgramId, Permit)]) -> Op {
     let program = |root, branch| ProgramId::root(root).sub_agent(branch);
     let short = |budget| ProgramLimits {
@@ -263,7 +272,7 @@
     };
     match *step {
         Step::Create(root) => Op::Create(new_root(program(root, 0), short(1_000))),
-        Step::Grant(root, branch, budget) => Op::Create(NewProgram {
+        Step::CreateSubAgent(root, branch, budget) => Op::Create(NewProgram {
             key: key(budget),
             sub_agent: true,
             ..new_root(program(root, branch), short(budget))
@@ -286,15 +295,16 @@
             None => Op::Expire,
         },
         Step::End(root, branch) => Op::End(program(root, branch), OWNER),
-        Step::Pass(_) => Op::Expire,
+        Step::AdvanceTime(_) => Op::Expire,
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    /// Equal commands lead to equal states, resends change nothing, and a copy
-    /// restored from a snapshot goes on as the original.
+    /// Replicas that apply the same commands return the same replies, resends
+    /// change nothing, and a replica restored from a snapshot behaves like the
+    /// original.
     #[test]
     fn replicas_agree_and_resends_change_nothing(steps in prop::collection::vec(step(), 1..120)) {
         let bounds = LedgerLimits { retention_s: 30, ..LedgerLimits::default() };
@@ -303,7 +313,7 @@
         let (mut at_ms, mut index) = (1_000, 0);
         let mut permits = Vec::new();
         for step in &steps {
-            if let Step::Pass(span) = step {
+            if let Step::AdvanceTime(span) = step {
                 at_ms += span;
             }
             let op = op_of(step, &permits);
