--- a/crates/quay_types/src/bytes.rs
+++ b/crates/quay_types/src/bytes.rs
@@ -33,7 +33,7 @@
     type Value = Box<[u8]>;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("a byte string")
+        f.write_str("bytes")
     }
 
     fn visit_bytes<E>(self, bytes: &[u8]) -> Result<Box<[u8]>, E> {
--- a/crates/quay_types/src/digest.rs
+++ b/crates/quay_types/src/digest.rs
@@ -69,14 +69,14 @@
     prompt
         .chunks_exact(BLOCK_BYTES)
         .map(|block| {
-            previous = chain(previous, block);
+            previous = chained_hash(previous, block);
             previous
         })
         .collect()
 }
 
 /// FNV-1a hash of `block`, seeded with the hash of the preceding blocks.
-fn chain(previous: u64, block: &[u8]) -> u64 {
+fn chained_hash(previous: u64, block: &[u8]) -> u64 {
     const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0000_0100_0000_01b3;
     let seeded = OFFSET ^ previous.wrapping_mul(PRIME);
--- a/crates/quay_types/src/ids.rs
+++ b/crates/quay_types/src/ids.rs
@@ -7,7 +7,7 @@
 };
 
 /// Declares a newtype over an integer.
-macro_rules! number_key {
+macro_rules! integer_newtype {
     ($(#[$doc:meta])* $name:ident($repr:ty), $prefix:literal) => {
         $(#[$doc])*
         #[derive(
@@ -24,7 +24,7 @@
 }
 
 /// Declares an id that is the hash of a name.
-macro_rules! name_key {
+macro_rules! hashed_name_id {
     ($(#[$doc:meta])* $name:ident, $domain:literal) => {
         $(#[$doc])*
         #[derive(
@@ -49,74 +49,74 @@
     };
 }
 
-name_key!(
+hashed_name_id!(
     /// Client account, by its configured name.
     AccountId, b"account"
 );
-name_key!(
+hashed_name_id!(
     /// Model that upstreams serve, by its configured name.
     ModelId, b"model"
 );
-name_key!(
+hashed_name_id!(
     /// Plain service, by its configured name.
     ServiceId, b"service"
 );
-name_key!(
+hashed_name_id!(
     /// Upstream, by the name that its sidecar announces.
     UpstreamId, b"upstream"
 );
 
-name_key!(
+hashed_name_id!(
     /// Stored turn, by the number that its caller assigned.
     TurnId, b"turn"
 );
-name_key!(
+hashed_name_id!(
     /// Program with a stored budget, by the name that its caller assigned.
     ProgramTag, b"program"
 );
-name_key!(
+hashed_name_id!(
     /// Attempt of a caller, by the number that the caller assigned.
     AttemptTag, b"attempt"
 );
 
-number_key!(
+integer_newtype!(
     /// Position of a call within its program, counted from 1.
     CallNumber(u32), ""
 );
-number_key!(
+integer_newtype!(
     /// Number of an attempt of a call. The ledger counts the attempts of a call
     /// from 0.
     Attempt(u32), ""
 );
-number_key!(
+integer_newtype!(
     /// Number of model tokens.
     Tokens(u64), ""
 );
-number_key!(
+integer_newtype!(
     /// Replicated group of the ledger.
     GroupId(u16), "g"
 );
-number_key!(
+integer_newtype!(
     /// Id of a replica; a replica that lost its disk gets a new id.
     NodeId(u64), "n"
 );
-number_key!(
+integer_newtype!(
     /// Term of a leader within a ledger group.
     Epoch(u64), ""
 );
-number_key!(
+integer_newtype!(
     /// Position in a replicated log, counted from 1.
     LogIndex(u64), ""
 );
-number_key!(
+integer_newtype!(
     /// Version of the configuration in force; never decreases.
     ConfigIndex(u64), ""
 );
-number_key!(
+integer_newtype!(
     /// Fencing token of the orders to an upstream; increases with each order.
     FenceNumber(u64), ""
 );
-number_key!(
+integer_newtype!(
     /// Number of one run of a sidecar process; increases with each restart.
     Incarnation(u64), ""
 );
--- a/crates/quay_types/src/ledger.rs
+++ b/crates/quay_types/src/ledger.rs
@@ -94,7 +94,8 @@
         /// send.
         idempotent: bool,
     },
-    /// The call cannot start yet; ask again after the given milliseconds.
+    /// An earlier call is open or may still start; ask again after the given
+    /// milliseconds.
     Wait(u32),
     /// Recorded outcome of a call that has already ended.
     Replay(Outcome),
