--- a/crates/quay_ledger/src/calls.rs
+++ b/crates/quay_ledger/src/calls.rs
@@ -311,7 +311,7 @@
         // The program of a standalone call that did not run has no outcome to
         // retain.
         if program.implicit && !program.open_may_have_run() {
-            self.forget(id);
+            self.remove_tree(id);
         }
     }
 
--- a/crates/quay_ledger/src/ledger.rs
+++ b/crates/quay_ledger/src/ledger.rs
@@ -359,12 +359,12 @@
             ) else {
                 break;
             };
-            self.forget(id);
+            self.remove_tree(id);
         }
     }
 
     /// Removes a root program and all its sub-agents.
-    pub(crate) fn forget(&mut self, root: ProgramId) {
+    pub(crate) fn remove_tree(&mut self, root: ProgramId) {
         let tree: Vec<_> = self.tree(root).collect();
         for id in tree {
             self.history.remove_program(id);
--- a/crates/quay_ledger/src/program.rs
+++ b/crates/quay_ledger/src/program.rs
@@ -66,7 +66,7 @@
     pub ended_ms: Option<u64>,
     /// Branch number of the parent; `None` for a root.
     pub parent: Option<u32>,
-    /// Levels below the root.
+    /// Number of levels below the root.
     pub depth: u8,
     /// Whether the program's budget is still reserved in its parent's budget.
     pub grant_open: bool,
@@ -81,7 +81,7 @@
     /// Lost attempts, which may still be running.
     pub lost: Vec<LostAttempt>,
     /// Earliest time at which a later call may start, in milliseconds since the
-    /// Unix epoch: before, a call with an unknown outcome may still start.
+    /// Unix epoch. Until then a call with an unknown outcome may still start.
     pub next_start_ms: u64,
 }
 
@@ -197,7 +197,7 @@
         assert_eq!(
             self.budget.reserved().0,
             attempts + lost + granted,
-            "reserved tokens equal those of open and lost attempts and grants"
+            "reserved tokens add up to those of open and lost attempts and grants"
         );
         assert!(
             self.calls.len() <= self.limits.turns as usize,
--- a/crates/quay_ledger/tests/calls.rs
+++ b/crates/quay_ledger/tests/calls.rs
@@ -336,7 +336,8 @@
     harness.apply(root(2));
     let is_refused = |reply, kind| matches!(reply, Reply::Refused(err) if err.kind == kind);
     assert!(is_refused(harness.apply(root(3)), ErrorKind::AccountLimit));
-    // An ended program counts towards the limit until its retention has passed.
+    // An ended program and its outcomes are retained, and the program counts
+    // towards the limit, until its retention has passed.
     harness.apply(Op::End(ProgramId::root(1), OWNER));
     assert!(is_refused(harness.apply(root(3)), ErrorKind::AccountLimit));
     harness.now_ms += 900_000;
