--- a/crates/quay_policy/src/admit/limit.rs
+++ b/crates/quay_policy/src/admit/limit.rs
@@ -1,29 +1,30 @@
-//! How many calls an upstream is given at a time.
+//! Limits of the number of concurrent calls on an upstream.
 
 use {crate::AdmissionSettings, quay_types::Time, std::time::Duration};
 
-/// What was seen of an upstream.
+/// Observed state of an upstream.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Observation {
-    /// Recent time between tokens; zero if none came.
+    /// Recent time between tokens; zero if no tokens were produced.
     pub token_gap: Duration,
-    /// Fill of KV memory, in thousandths.
+    /// KV memory in use, in thousandths.
     pub kv_permille: u16,
 }
 
-/// How many calls an upstream is given at a time.
+/// Limit of the number of concurrent calls on an upstream.
 pub trait ConcurrencyLimit {
-    /// The limit before anything is seen.
+    /// Creates the limit before anything was observed.
     fn new(cfg: &AdmissionSettings) -> Self;
 
-    /// The limit now.
+    /// Current limit.
     fn limit(&self) -> u32;
 
-    /// Learns from what was seen; `wanted` says that more calls wait than may run.
-    fn observe(&mut self, cfg: &AdmissionSettings, now: Time, seen: Observation, wanted: bool);
+    /// Updates the limit from an observation. `saturated` is set when calls are
+    /// queued and the limit is reached.
+    fn observe(&mut self, cfg: &AdmissionSettings, now: Time, seen: Observation, saturated: bool);
 }
 
-/// The highest limit, whatever is seen: the engine's own batch decides.
+/// A fixed limit at `max_limit`, which leaves batching to the engine.
 #[derive(Debug)]
 pub struct FixedLimit(u32);
 
@@ -39,11 +40,12 @@
     fn observe(&mut self, _: &AdmissionSettings, _: Time, _: Observation, _: bool) {}
 }
 
-/// Rises by one while tokens come fast enough and calls wait, falls by a
-/// tenth when they come too slowly or KV memory fills up.
+/// Additive-increase, multiplicative-decrease limit: rises by one while the
+/// time between tokens is within its target and calls are queued, falls by a
+/// tenth when that time or the use of KV memory exceeds its target.
 #[derive(Debug)]
 pub struct AdaptiveLimit {
-    /// Between the settings' `min_limit` and `max_limit`.
+    /// Between `min_limit` and `max_limit` of the settings.
     limit: u32,
     due: Time,
 }
@@ -60,15 +62,15 @@
         self.limit
     }
 
-    fn observe(&mut self, cfg: &AdmissionSettings, now: Time, seen: Observation, wanted: bool) {
+    fn observe(&mut self, cfg: &AdmissionSettings, now: Time, seen: Observation, saturated: bool) {
         if now < self.due {
             return;
         }
         self.due = now + cfg.limit_interval;
-        let over = seen.token_gap > cfg.token_gap || seen.kv_permille > cfg.kv_permille;
-        if over {
+        let overloaded = seen.token_gap > cfg.token_gap || seen.kv_permille > cfg.kv_permille;
+        if overloaded {
             self.limit -= self.limit.div_ceil(10);
-        } else if wanted {
+        } else if saturated {
             self.limit += 1;
         }
         self.limit = self.limit.clamp(cfg.min_limit, cfg.max_limit);
--- a/crates/quay_policy/src/admit/mod.rs
+++ b/crates/quay_policy/src/admit/mod.rs
@@ -1,4 +1,4 @@
-//! The queue before one upstream.
+//! Admission of calls to one upstream.
 
 mod admission;
 mod limit;
--- a/crates/quay_policy/src/admit/settings.rs
+++ b/crates/quay_policy/src/admit/settings.rs
@@ -1,35 +1,38 @@
-//! Knobs of admission.
+//! Settings of admission.
 
 use std::time::Duration;
 
-/// Knobs of admission. A weight of zero turns its part off.
+/// Settings of admission. Zero disables the part that a setting controls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AdmissionSettings {
-    /// Calls on the upstream before anything is learned.
+    /// Initial limit of concurrent calls on the upstream.
     pub start_limit: u32,
-    /// Fewest calls that are let through.
+    /// Lower bound of the limit.
     pub min_limit: u32,
-    /// Most calls that are let through.
+    /// Upper bound of the limit.
     pub max_limit: u32,
-    /// Time between tokens that the limit keeps to.
+    /// Target time between tokens; the limit falls when it is exceeded.
     pub token_gap: Duration,
-    /// Fill of KV memory that the limit keeps below, in thousandths.
+    /// Target use of KV memory, in thousandths; the limit falls when it is
+    /// exceeded.
     pub kv_permille: u16,
-    /// Interval between two changes of the limit.
+    /// Minimum interval between two changes of the limit.
     pub limit_interval: Duration,
-    /// Calls that may wait.
+    /// Maximum number of queued calls.
     pub max_queued: usize,
-    /// Most time that its account's use can put a call back, which bounds its wait.
+    /// Maximum delay that an account's past usage can impose on a call, which
+    /// bounds its wait.
     pub max_account_delay: Duration,
-    /// Head start of a sub-agent for each level of depth.
+    /// Advance in the queue that a sub-agent gets for each level of depth.
     pub sub_agent_lead: Duration,
-    /// Upstream time that one account may take in each second before its calls
-    /// stand behind those of others, in thousandths; zero is no limit.
+    /// Upstream time that an account may use per second before its calls are
+    /// queued behind those of other accounts, in thousandths; zero disables the
+    /// limit.
     pub account_share_permille: u32,
-    /// Expected wait from which on programs that have not begun are refused;
-    /// zero refuses none.
+    /// Expected wait above which new programs are refused; zero disables load
+    /// shedding.
     pub shed_new_after: Duration,
-    /// Time that a call is expected to run, until some have ended.
+    /// Expected run time of a call before any calls have ended.
     pub service_time: Duration,
 }
 
--- a/crates/quay_policy/src/admit/ticket.rs
+++ b/crates/quay_policy/src/admit/ticket.rs
@@ -1,45 +1,46 @@
-//! Calls that wait before an upstream.
+//! Calls that wait for admission to an upstream.
 
 use quay_types::{AccountId, Error, ProgramId, Time, Tokens};
 
-/// A call at one sidecar.
+/// Identifies a call at one sidecar.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TicketId(pub u64);
 
-/// What admission needs to know of a call.
+/// Properties of a call that admission depends on.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Ticket {
-    /// The call.
+    /// Identifier of the call.
     pub id: TicketId,
     /// Program of the call.
     pub program: ProgramId,
-    /// Account that pays.
+    /// Account that is charged.
     pub account: AccountId,
-    /// Tokens that the whole program was given so far.
+    /// Tokens that the whole program has consumed so far.
     pub attained: Tokens,
     /// Depth below the root program; a sub-agent blocks its parent.
     pub depth: u8,
     /// Length of the prompt.
     pub prompt: Tokens,
-    /// When an answer is of no more use.
+    /// Time after which the caller no longer needs the answer.
     pub deadline: Time,
-    /// Whether nothing may run beside the call, since it may crash the upstream.
+    /// Whether the call must run alone on the upstream because it may crash it.
     pub exclusive: bool,
 }
 
 impl Ticket {
-    /// Whether nothing was spent on the program yet, so that a refusal wastes nothing.
+    /// Whether the program has consumed nothing yet, so that refusing the call
+    /// wastes no work.
     #[must_use]
     pub const fn is_new(&self) -> bool {
         self.attained.0 == 0 && self.depth == 0
     }
 }
 
-/// What becomes of a call.
+/// Decision on a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Verdict {
-    /// The call may run now.
+    /// The call may start now.
     Admit(TicketId),
-    /// The call does not run, and never will under this ticket.
+    /// The call is refused, and this ticket will not be admitted later.
     Refuse(TicketId, Error),
 }
--- a/crates/quay_policy/src/guard/mod.rs
+++ b/crates/quay_policy/src/guard/mod.rs
@@ -1,4 +1,5 @@
-//! Guards: retries within a budget, account quota, and requests that crash upstreams.
+//! Protection against overload and faults: retry budgets, account quotas, and
+//! quarantine of requests that crash upstreams.
 
 mod quota;
 mod retry;
--- a/crates/quay_policy/src/guard/quota.rs
+++ b/crates/quay_policy/src/guard/quota.rs
@@ -1,4 +1,4 @@
-//! Limits of accounts, lent to entries in slices.
+//! Account limits, leased in parts to the entries that admit calls.
 
 use {
     indexmap::IndexMap,
@@ -6,10 +6,10 @@
     std::time::Duration,
 };
 
-/// Knobs of slices.
+/// Settings of quota leases.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QuotaSettings {
-    /// How long a slice is good for.
+    /// Time after which a lease expires.
     pub lease_time: Duration,
 }
 
@@ -21,48 +21,49 @@
     }
 }
 
-/// A slice of an account's limit.
+/// A lease of part of an account's limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QuotaLease {
-    /// Part of the limit.
+    /// Number of concurrent calls that the lease allows.
     pub amount: u32,
-    /// When it ends.
+    /// Time at which the lease expires.
     pub expires_at: Time,
 }
 
-/// What one holder asked for and got.
+/// Latest request and lease of one holder.
 #[derive(Debug, Clone, Copy)]
-struct Slice {
+struct HolderLease {
     wanted: u32,
     lease: QuotaLease,
 }
 
-/// Lends the limits of accounts to holders.
+/// Leases parts of account limits to holders.
 ///
-/// The slices of one account that have not ended never add up to more than its
-/// limit, so no entry needs to ask for each call.
+/// The unexpired leases of an account never add up to more than its limit, so
+/// that an entry can admit calls without asking the allocator for each one.
 #[derive(Debug)]
 pub struct QuotaAllocator {
     cfg: QuotaSettings,
-    slices: IndexMap<AccountId, IndexMap<u64, Slice>>,
+    leases: IndexMap<AccountId, IndexMap<u64, HolderLease>>,
 }
 
 impl QuotaAllocator {
-    /// Nothing is lent yet.
+    /// Creates an allocator without leases.
     #[must_use]
     pub fn new(cfg: QuotaSettings) -> Self {
         Self {
             cfg,
-            slices: IndexMap::new(),
+            leases: IndexMap::new(),
         }
     }
 
-    /// Lends `holder` up to `wanted` of an account's `limit`; replaces its slice.
+    /// Leases up to `wanted` of an account's `limit` to `holder`, replacing its
+    /// previous lease.
     ///
-    /// A slice is never smaller than the `open` calls that the holder has in
-    /// progress, as far as the old slice covers them: calls beyond it would
-    /// raise the limit for good. While it has any it has to ask again before
-    /// the slice ends.
+    /// A lease is never smaller than the `open` calls that the holder has in
+    /// progress, as far as the previous lease covers them: calls in excess of
+    /// that lease would otherwise raise the limit permanently. A holder with
+    /// calls in progress must renew its lease before it expires.
     pub fn lease(
         &mut self,
         now: Time,
@@ -71,97 +72,100 @@
         (open, wanted): (u32, u32),
         limit: u32,
     ) -> QuotaLease {
-        let slices = self.slices.entry(account).or_default();
-        slices.retain(|_, slice| slice.lease.expires_at > now);
-        let held = slices.get(&holder).map_or(0, |slice| slice.lease.amount);
-        let others = slices.iter().filter(|(id, _)| **id != holder);
-        let lent: u32 = others.clone().map(|(_, slice)| slice.lease.amount).sum();
-        let asked: u32 = others.map(|(_, slice)| slice.wanted).sum();
-        let holders = u32::try_from(slices.len()).unwrap_or(u32::MAX);
-        let known = u32::from(slices.contains_key(&holder));
-        let fair = limit.div_ceil((holders - known + 1).max(1));
-        // Where all together want more than there is, nobody keeps more than its part.
-        let most = if asked.saturating_add(wanted) > limit {
-            fair
+        let leases = self.leases.entry(account).or_default();
+        leases.retain(|_, entry| entry.lease.expires_at > now);
+        let held = leases.get(&holder).map_or(0, |entry| entry.lease.amount);
+        let others = leases.iter().filter(|(id, _)| **id != holder);
+        let leased_to_others: u32 = others.clone().map(|(_, entry)| entry.lease.amount).sum();
+        let wanted_by_others: u32 = others.map(|(_, entry)| entry.wanted).sum();
+        let holders = u32::try_from(leases.len()).unwrap_or(u32::MAX);
+        let known = u32::from(leases.contains_key(&holder));
+        let fair_share = limit.div_ceil((holders - known + 1).max(1));
+        // When the total demand exceeds the limit, each holder gets at most its
+        // fair share.
+        let max = if wanted_by_others.saturating_add(wanted) > limit {
+            fair_share
         } else {
             limit
         };
         let lease = QuotaLease {
             amount: wanted
-                .min(most)
-                .min(limit.saturating_sub(lent))
+                .min(max)
+                .min(limit.saturating_sub(leased_to_others))
                 .max(open.min(held)),
             expires_at: now + self.cfg.lease_time,
         };
-        slices.insert(holder, Slice { wanted, lease });
+        leases.insert(holder, HolderLease { wanted, lease });
         lease
     }
 
-    /// Forgets accounts of which nothing is lent.
+    /// Removes expired leases, and accounts without leases.
     pub fn remove_expired(&mut self, now: Time) {
-        self.slices.retain(|_, slices| {
-            slices.retain(|_, slice| slice.lease.expires_at > now);
-            !slices.is_empty()
+        self.leases.retain(|_, leases| {
+            leases.retain(|_, entry| entry.lease.expires_at > now);
+            !leases.is_empty()
         });
     }
 }
 
-/// One account at a holder.
+/// State of one account at a holder.
 #[derive(Debug, Default)]
-struct Used {
+struct AccountUsage {
     open: u32,
     lease: Option<QuotaLease>,
 }
 
-/// Calls in progress of each account at one entry, kept within its slices.
+/// Calls in progress of each account at one entry, kept within its leases.
 #[derive(Debug, Default)]
 pub struct QuotaHolder {
-    accounts: IndexMap<AccountId, Used>,
+    accounts: IndexMap<AccountId, AccountUsage>,
 }
 
 impl QuotaHolder {
-    /// Calls in progress, and calls that the account could use now: as many
-    /// again, so that a slice can grow.
+    /// Returns the calls in progress, and the demand to request: twice as many
+    /// plus one, so that a lease can grow.
     #[must_use]
     pub fn demand(&self, account: AccountId) -> (u32, u32) {
-        let open = self.accounts.get(&account).map_or(0, |used| used.open);
+        let open = self.accounts.get(&account).map_or(0, |usage| usage.open);
         (open, open * 2 + 1)
     }
 
-    /// Whether a new slice should be asked for: there is none, or it is used up.
+    /// Whether a new lease should be requested because there is none or the
+    /// present one is fully usage.
     #[must_use]
     pub fn needs_lease(&self, now: Time, account: AccountId) -> bool {
-        let used = self.accounts.get(&account);
-        used.is_none_or(|used| used.open >= used.amount(now))
+        let usage = self.accounts.get(&account);
+        usage.is_none_or(|usage| usage.open >= usage.amount(now))
     }
 
-    /// Takes a slice.
+    /// Stores a lease.
     pub fn set_lease(&mut self, account: AccountId, lease: QuotaLease) {
         self.accounts.entry(account).or_default().lease = Some(lease);
     }
 
-    /// Begins a call. A call of a program under way always may: to refuse it
-    /// would waste what the program was given.
-    pub fn begin_call(&mut self, now: Time, account: AccountId, has_history: bool) -> bool {
-        let used = self.accounts.entry(account).or_default();
-        let may = has_history || used.open < used.amount(now);
-        used.open += u32::from(may);
-        may
+    /// Starts a call if the lease allows it. A call that continues a program is
+    /// always allowed, because refusing it would waste the work already done
+    /// for the program.
+    pub fn begin_call(&mut self, now: Time, account: AccountId, continues_program: bool) -> bool {
+        let usage = self.accounts.entry(account).or_default();
+        let allowed = continues_program || usage.open < usage.amount(now);
+        usage.open += u32::from(allowed);
+        allowed
     }
 
-    /// Ends a call; an account without calls is forgotten.
+    /// Ends a call; an account without calls in progress is removed.
     pub fn end_call(&mut self, account: AccountId) {
-        if let Some(used) = self.accounts.get_mut(&account) {
-            used.open = used.open.saturating_sub(1);
-            if used.open == 0 {
+        if let Some(usage) = self.accounts.get_mut(&account) {
+            usage.open = usage.open.saturating_sub(1);
+            if usage.open == 0 {
                 self.accounts.swap_remove(&account);
             }
         }
     }
 }
 
-impl Used {
-    /// Calls that the slice allows now.
+impl AccountUsage {
+    /// Number of concurrent calls that the lease allows at `now`.
     fn amount(&self, now: Time) -> u32 {
         let valid = self.lease.filter(|lease| lease.expires_at > now);
         valid.map_or(0, |lease| lease.amount)
--- a/crates/quay_policy/src/guard/retry.rs
+++ b/crates/quay_policy/src/guard/retry.rs
@@ -1,19 +1,19 @@
-//! Budgets of retries, so that an outage is not multiplied.
+//! Retry budgets, which keep retries from amplifying an outage.
 
 use {indexmap::IndexMap, quay_types::AccountId};
 
-/// Cost of one retry, in the unit of deposits.
+/// Cost of one retry in budget units.
 const RETRY_COST: u32 = 1_000;
 
-/// Budgets that are remembered of each sort.
+/// Maximum number of budgets kept per kind (accounts, groups).
 const MAX_BUDGETS: usize = 8_192;
 
-/// Knobs of retries.
+/// Settings of retry budgets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RetrySettings {
-    /// Retries allowed for each 1,000 first tries.
+    /// Retries allowed per 1,000 first attempts.
     pub share_permille: u32,
-    /// Retries that a budget starts with and can save up.
+    /// Initial and maximum size of a budget, in retries.
     pub burst: u32,
 }
 
@@ -26,17 +26,17 @@
     }
 }
 
-/// Budgets of retries by account and by group of upstreams.
+/// Retry budgets by account and by group of upstreams.
 #[derive(Debug)]
 pub struct RetryBudgets {
     cfg: RetrySettings,
-    /// Thousandths of a retry that are left; at most `burst` retries.
+    /// Remaining budget in thousandths of a retry; at most `burst` retries.
     accounts: IndexMap<AccountId, u32>,
     groups: IndexMap<u64, u32>,
 }
 
 impl RetryBudgets {
-    /// Full budgets.
+    /// Creates budgets that are full.
     #[must_use]
     pub fn new(cfg: RetrySettings) -> Self {
         Self {
@@ -46,31 +46,38 @@
         }
     }
 
-    /// Notes the first try of a call, which earns a share of a retry.
+    /// Records the first attempt of a call, which adds a share of a retry to
+    /// both budgets.
     pub fn record_first_attempt(&mut self, account: AccountId, group: u64) {
-        let most = self.cfg.burst * RETRY_COST;
+        let max = self.cfg.burst * RETRY_COST;
         let share = self.cfg.share_permille;
-        let earn = |left: &mut u32| *left = (*left + share).min(most);
-        earn(slot(&mut self.accounts, account, most));
-        earn(slot(&mut self.groups, group, most));
+        let credit = |remaining: &mut u32| *remaining = (*remaining + share).min(max);
+        credit(budget_for(&mut self.accounts, account, max));
+        credit(budget_for(&mut self.groups, group, max));
     }
 
-    /// Takes a retry out of both budgets; false if either is used up.
+    /// Takes one retry from both budgets; returns `false` if either is
+    /// exhausted.
     pub fn try_retry(&mut self, account: AccountId, group: u64) -> bool {
-        let most = self.cfg.burst * RETRY_COST;
-        let by_account = slot(&mut self.accounts, account, most);
-        let by_group = slot(&mut self.groups, group, most);
-        let covered = *by_account >= RETRY_COST && *by_group >= RETRY_COST;
-        if covered {
+        let max = self.cfg.burst * RETRY_COST;
+        let by_account = budget_for(&mut self.accounts, account, max);
+        let by_group = budget_for(&mut self.groups, group, max);
+        let allowed = *by_account >= RETRY_COST && *by_group >= RETRY_COST;
+        if allowed {
             *by_account -= RETRY_COST;
             *by_group -= RETRY_COST;
         }
-        covered
+        allowed
     }
 }
 
-/// A budget, full if it is new; the oldest gives way.
-fn slot<K: std::hash::Hash + Eq>(budgets: &mut IndexMap<K, u32>, key: K, full: u32) -> &mut u32 {
+/// Returns the budget of a key, full if it is new. When the maximum number is
+/// reached, a new budget replaces the first one, normally the oldest.
+fn budget_for<K: std::hash::Hash + Eq>(
+    budgets: &mut IndexMap<K, u32>,
+    key: K,
+    full: u32,
+) -> &mut u32 {
     if budgets.len() >= MAX_BUDGETS && !budgets.contains_key(&key) {
         budgets.swap_remove_index(0);
     }
--- a/crates/quay_policy/src/guard/suspects.rs
+++ b/crates/quay_policy/src/guard/suspects.rs
@@ -1,12 +1,13 @@
-//! Requests that may crash the upstreams that run them.
+//! Quarantine of requests that crash the upstreams that run them.
 //!
-//! A request is known by the digest of its content. Each crash is a strike for
-//! every request that ran there. After the first strike a request runs as the
-//! only suspect on its upstream, after the second alone, and the third
-//! quarantines it. Only one run of a suspect is under way at a time, so one
-//! poison request costs at most [`MAX_STRIKES`] upstreams once its first crash
-//! is known, however often it is sent again and whatever else is poison; a
-//! harmless request is cleared by the first run that it completes.
+//! A request is identified by the digest of its content. Each crash counts as a
+//! strike for every request that was running on the upstream. After the first
+//! strike a request runs only where no other suspect runs, after the second it
+//! runs alone, and the third quarantines it. Only one run of a suspect is in
+//! progress at a time. A poison request therefore costs at most [`MAX_STRIKES`]
+//! upstreams once its first crash is known, however often it is resent and
+//! whatever other requests are poison. A harmless request is cleared by the
+//! first run that completes.
 
 use {
     indexmap::IndexMap,
@@ -15,22 +16,23 @@
     std::time::Duration,
 };
 
-/// Crashes that quarantine a request.
+/// Strikes at which a request is quarantined.
 const MAX_STRIKES: u8 = 3;
 
-/// Strikes from which on a request runs alone.
+/// Strikes from which a request must run alone.
 const ALONE_STRIKES: u8 = 2;
 
-/// Knobs of quarantine.
+/// Settings of quarantine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectSettings {
-    /// How long a quarantine lasts after the request was last sent.
+    /// Duration of a quarantine, counted from the last time the request was
+    /// sent.
     pub quarantine_time: Duration,
-    /// How long a run of a suspect may take before its place is given away.
+    /// Time after which the run of a suspect no longer blocks other suspects.
     pub trial_timeout: Duration,
-    /// How long a suspect that is not sent again is remembered.
+    /// Time after which a suspect that is not resent is removed.
     pub forget_after: Duration,
-    /// Number of suspects that are remembered.
+    /// Maximum number of suspects.
     pub max_suspects: u32,
 }
 
@@ -45,43 +47,44 @@
     }
 }
 
-/// A command of the control group.
+/// Command of the replicated control group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SuspectCommand {
     /// An upstream crashed.
     Crashed {
-        /// When.
+        /// Time of the crash.
         at: Time,
-        /// The upstream.
+        /// Upstream that crashed.
         upstream: UpstreamId,
-        /// Run of its sidecar.
+        /// Incarnation of the upstream's sidecar.
         incarnation: Incarnation,
-        /// Number of the crash within that run; a resent report counts once.
+        /// Number of the crash within the incarnation; a report that is resent
+        /// counts once.
         crash: u64,
-        /// What ran there.
+        /// Requests that were running on the upstream.
         running: Box<[ContentDigest]>,
     },
-    /// An entry asks for leave to run a request.
+    /// An entry requests clearance to run a request.
     RequestClearance {
-        /// When.
+        /// Time of the command.
         at: Time,
-        /// The request.
+        /// Digest of the request.
         digest: ContentDigest,
-        /// Where it is to run.
+        /// Upstream that is to run the request.
         upstream: UpstreamId,
     },
-    /// A run that leave was given for has ended without a crash.
+    /// A run with clearance ended without a crash.
     Ended {
-        /// When.
+        /// Time of the command.
         at: Time,
-        /// The request.
+        /// Digest of the request.
         digest: ContentDigest,
-        /// Whether it ran to its end, which clears it.
+        /// Whether the run completed, which clears the request.
         completed: bool,
     },
     /// An operator clears a request.
     Clear {
-        /// The request.
+        /// Digest of the request.
         digest: ContentDigest,
     },
 }
@@ -89,38 +92,41 @@
 /// Clearance to run a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Clearance {
-    /// The request is no suspect.
+    /// The request is not a suspect.
     Unrestricted,
-    /// It may run as the only suspect on that upstream.
+    /// The request may run as the only suspect on the upstream.
     OnlySuspect,
-    /// It may run if nothing else does on that upstream.
+    /// The request may run if nothing else runs on the upstream.
     Exclusive,
-    /// Another run of it, or another suspect on that upstream, has to end first.
+    /// Another run of the request, or another suspect on the upstream, must end
+    /// first.
     Wait,
-    /// It may not run; the span tells when the quarantine lapses if it is not sent again.
+    /// The request must not run. The duration is the time until the quarantine
+    /// ends if the request is not resent.
     Quarantined(Duration),
 }
 
-/// Answer to a [`SuspectCommand`].
+/// Reply to a [`SuspectCommand`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SuspectReply {
-    /// The command was carried out, or had been before.
+    /// The command was applied, now or earlier.
     Done,
-    /// Answer to [`SuspectCommand::RequestClearance`].
+    /// Reply to [`SuspectCommand::RequestClearance`].
     Clearance(Clearance),
 }
 
-/// One suspect.
+/// State of one suspect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 struct Suspect {
     strikes: u8,
-    /// Where it runs under leave, and since when.
+    /// Upstream on which the request runs under a clearance, and the start of
+    /// that run.
     trial: Option<(UpstreamId, Time)>,
-    /// When it was last sent or struck.
+    /// Time at which the request was last sent or involved in a crash.
     seen: Time,
 }
 
-/// All suspects; a state machine for the control group to replicate.
+/// All suspects, as a state machine that the control group replicates.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectRegistry {
     cfg: SuspectSettings,
@@ -130,7 +136,7 @@
 }
 
 impl SuspectRegistry {
-    /// Nothing is suspected.
+    /// Creates a registry without suspects.
     #[must_use]
     pub fn new(cfg: SuspectSettings) -> Self {
         Self {
@@ -140,13 +146,15 @@
         }
     }
 
-    /// Whether a request needs leave: cheap to ask for each call, of a copy too.
+    /// Whether a request needs clearance. Cheap enough to check for each call,
+    /// also on a copy of the registry.
     #[must_use]
     pub fn is_suspect(&self, digest: ContentDigest) -> bool {
         self.requests.contains_key(&digest)
     }
 
-    /// Requests in quarantine at `now`, and when each was last seen.
+    /// Requests that are quarantined at `now`, with the time at which each was
+    /// last seen.
     pub fn quarantined(&self, now: Time) -> impl Iterator<Item = (ContentDigest, Time)> {
         let held = self
             .requests
@@ -155,7 +163,7 @@
         held.map(|(digest, suspect)| (*digest, suspect.seen))
     }
 
-    /// Carries out a command.
+    /// Applies a command.
     pub fn apply(&mut self, command: &SuspectCommand) -> SuspectReply {
         match command {
             SuspectCommand::Crashed {
@@ -164,23 +172,23 @@
                 incarnation,
                 crash,
                 running,
-            } => self.crashed(*at, *upstream, (*incarnation, *crash), running),
+            } => self.record_crash(*at, *upstream, (*incarnation, *crash), running),
             SuspectCommand::RequestClearance {
                 at,
                 digest,
                 upstream,
-            } => return SuspectReply::Clearance(self.ask(*at, *digest, *upstream)),
+            } => return SuspectReply::Clearance(self.request_clearance(*at, *digest, *upstream)),
             SuspectCommand::Ended {
                 at,
                 digest,
                 completed,
-            } => self.ended(*at, *digest, *completed),
+            } => self.record_end(*at, *digest, *completed),
             SuspectCommand::Clear { digest } => drop(self.requests.shift_remove(digest)),
         }
         SuspectReply::Done
     }
 
-    fn crashed(
+    fn record_crash(
         &mut self,
         at: Time,
         upstream: UpstreamId,
@@ -195,19 +203,20 @@
             return;
         }
         self.crashes.insert(upstream, crash);
-        self.forget(at);
-        let mut struck: Vec<_> = running.to_vec();
-        struck.sort_unstable();
-        struck.dedup();
-        for digest in &struck {
+        self.remove_stale(at);
+        let mut involved: Vec<_> = running.to_vec();
+        involved.sort_unstable();
+        involved.dedup();
+        for digest in &involved {
             let suspect = self.requests.entry(*digest).or_insert(Suspect {
                 strikes: 0,
                 trial: None,
                 seen: at,
             });
-            // A request that crashes an upstream with nothing beside it twice is sure.
-            let sure = struck.len() == 1 && suspect.strikes + 1 >= ALONE_STRIKES;
-            suspect.strikes = if sure {
+            // A request that was running alone when it caused its second crash
+            // is certainly the cause.
+            let confirmed = involved.len() == 1 && suspect.strikes + 1 >= ALONE_STRIKES;
+            suspect.strikes = if confirmed {
                 MAX_STRIKES
             } else {
                 (suspect.strikes + 1).min(MAX_STRIKES)
@@ -217,25 +226,30 @@
         }
     }
 
-    fn ask(&mut self, at: Time, digest: ContentDigest, upstream: UpstreamId) -> Clearance {
+    fn request_clearance(
+        &mut self,
+        at: Time,
+        digest: ContentDigest,
+        upstream: UpstreamId,
+    ) -> Clearance {
         let Some(suspect) = self.requests.get(&digest).copied() else {
             return Clearance::Unrestricted;
         };
         if self.is_quarantined(at, &suspect) {
-            self.touch(at, digest);
+            self.extend_quarantine(at, digest);
             return Clearance::Quarantined(self.cfg.quarantine_time);
         }
-        let busy = |other: &Suspect| {
+        let trial_upstream = |other: &Suspect| {
             let trial = other
                 .trial
                 .filter(|(_, since)| at.since(*since) < self.cfg.trial_timeout);
-            trial.map(|(place, _)| place)
+            trial.map(|(upstream, _)| upstream)
         };
-        let taken = self
+        let upstream_taken = self
             .requests
             .values()
-            .any(|other| busy(other) == Some(upstream));
-        if taken || busy(&suspect).is_some() {
+            .any(|other| trial_upstream(other) == Some(upstream));
+        if upstream_taken || trial_upstream(&suspect).is_some() {
             return Clearance::Wait;
         }
         if let Some(suspect) = self.requests.get_mut(&digest) {
@@ -249,7 +263,7 @@
         }
     }
 
-    fn ended(&mut self, at: Time, digest: ContentDigest, completed: bool) {
+    fn record_end(&mut self, at: Time, digest: ContentDigest, completed: bool) {
         if completed {
             self.requests.shift_remove(&digest);
         } else if let Some(suspect) = self.requests.get_mut(&digest) {
@@ -258,8 +272,8 @@
         }
     }
 
-    /// Sending a quarantined request again keeps it in quarantine.
-    fn touch(&mut self, at: Time, digest: ContentDigest) {
+    /// Extends the quarantine of a request that was sent again.
+    fn extend_quarantine(&mut self, at: Time, digest: ContentDigest) {
         if let Some(suspect) = self.requests.get_mut(&digest) {
             suspect.seen = at;
         }
@@ -269,14 +283,19 @@
         suspect.strikes >= MAX_STRIKES && now.since(suspect.seen) < self.cfg.quarantine_time
     }
 
-    /// Forgets suspects that were not sent for long, and the oldest if there are too many.
-    fn forget(&mut self, now: Time) {
+    /// Removes suspects that were not seen for a long time, and the oldest ones
+    /// if there are too many.
+    fn remove_stale(&mut self, now: Time) {
         let cfg = self.cfg;
         self.requests
             .retain(|_, suspect| now.since(suspect.seen) < cfg.forget_after);
         while self.requests.len() >= cfg.max_suspects as usize {
-            let weak = |suspect: &Suspect| suspect.strikes < MAX_STRIKES;
-            let oldest = self.requests.values().position(weak).unwrap_or_default();
+            let not_quarantined = |suspect: &Suspect| suspect.strikes < MAX_STRIKES;
+            let oldest = self
+                .requests
+                .values()
+                .position(not_quarantined)
+                .unwrap_or_default();
             self.requests.shift_remove_index(oldest);
         }
     }
--- a/crates/quay_policy/src/lib.rs
+++ b/crates/quay_policy/src/lib.rs
@@ -1,8 +1,9 @@
-//! Scheduling decisions for agent programs: where a call goes, when it starts,
-//! what stays in KV memory, what is tried again and what is never tried again.
+//! Scheduling policy for agent programs: routing, admission, KV retention,
+//! retries, and quarantine of requests that crash upstreams.
 //!
-//! Everything here is plain state: time and random numbers are passed in,
-//! actions come out, and the same input gives the same output.
+//! All types are deterministic state machines without I/O: time and random
+//! numbers are passed in, decisions are returned, and the same input gives the
+//! same output.
 //!
 //! ```
 //! use {
--- a/crates/quay_policy/src/placement.rs
+++ b/crates/quay_policy/src/placement.rs
@@ -1,4 +1,4 @@
-//! Which upstream serves which models.
+//! Placement of models on upstreams.
 
 use {
     indexmap::IndexMap,
@@ -6,16 +6,18 @@
     std::time::Duration,
 };
 
-/// Knobs of placement.
+/// Settings of placement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlacementSettings {
-    /// Share of the upstreams that may be moving at a time, in thousandths; at least one may.
+    /// Share of the upstreams that may be changing models at a time, in
+    /// thousandths; at least one always may.
     pub moving_permille: u32,
-    /// Bytes of one model's weights.
+    /// Size of one model's weights in bytes.
     pub model_bytes: u64,
-    /// Rate of the weight store, in bytes a second.
+    /// Throughput of the weight store in bytes per second.
     pub store_bytes_per_s: u64,
-    /// After so long a move is taken for failed.
+    /// Time after which a move that was not reported as finished counts as
+    /// failed.
     pub move_timeout: Duration,
 }
 
@@ -30,23 +32,23 @@
     }
 }
 
-/// What is known of one upstream.
+/// State of one upstream as placement sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlacementView {
-    /// The upstream.
+    /// Identifier of the upstream.
     pub upstream: UpstreamId,
-    /// Model that it serves.
+    /// Model that the upstream serves.
     pub model: ModelId,
-    /// Calls queued and running there.
+    /// Calls queued and running on the upstream.
     pub calls: u32,
 }
 
-/// An order to an upstream: serve another model.
+/// Order to an upstream to replace the model that it serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Move {
-    /// The upstream.
+    /// Upstream that changes its model.
     pub upstream: UpstreamId,
-    /// Rises with each order.
+    /// Fence number of the order; increases with each order.
     pub fence: FenceNumber,
     /// Model to load.
     pub load: ModelId,
@@ -54,18 +56,19 @@
     pub unload: ModelId,
 }
 
-/// The placement loop.
+/// Decides which upstreams change models.
 #[derive(Debug)]
 pub struct Placement {
     cfg: PlacementSettings,
-    /// Rises with each order; a restarted loop starts above the last one.
+    /// Fence number of the last order. After a restart it starts above the last
+    /// one issued.
     fence: FenceNumber,
     moving: IndexMap<UpstreamId, (ModelId, Time)>,
     store_free: Time,
 }
 
 impl Placement {
-    /// A loop whose orders carry fence numbers above `fence`.
+    /// Creates a planner whose orders carry fence numbers above `fence`.
     #[must_use]
     pub fn new(cfg: PlacementSettings, fence: FenceNumber) -> Self {
         Self {
@@ -76,15 +79,15 @@
         }
     }
 
-    /// Notes that a move has ended, well or not.
+    /// Records that a move has ended, whether it succeeded or failed.
     pub fn move_finished(&mut self, upstream: UpstreamId) {
         self.moving.swap_remove(&upstream);
     }
 
-    /// Decides the next moves for the calls that each model gets.
+    /// Plans the next moves from the number of calls for each model.
     ///
-    /// A model with calls keeps at least one upstream, and the last upstream of
-    /// a model with calls is never taken from it.
+    /// Every model with calls is given at least one upstream, and the last
+    /// upstream of a model with calls is never moved away from it.
     pub fn plan(
         &mut self,
         now: Time,
@@ -94,9 +97,9 @@
         let cfg = self.cfg;
         self.moving
             .retain(|_, (_, since)| now.since(*since) < cfg.move_timeout);
-        let most = views.len() * cfg.moving_permille as usize / 1_000;
+        let max_moving = views.len() * cfg.moving_permille as usize / 1_000;
         let mut moves = Vec::new();
-        while self.moving.len() < most.max(1) && self.store_free <= now {
+        while self.moving.len() < max_moving.max(1) && self.store_free <= now {
             let Some(next) = self.next_move(views, demand) else {
                 break;
             };
@@ -112,7 +115,8 @@
         moves
     }
 
-    /// The move from the model with most upstreams to spare to the one that lacks most.
+    /// Selects a move to the model with the largest deficit of upstreams, from
+    /// the least loaded upstream of a model with a surplus.
     fn next_move(&self, views: &[PlacementView], demand: &IndexMap<ModelId, u64>) -> Option<Move> {
         let wanted = shares(demand, views.len());
         let have = |model: ModelId| {
@@ -138,14 +142,16 @@
         })
     }
 
-    /// The model that an upstream serves, or will once its move has ended.
+    /// Returns the model that an upstream serves, or will serve once its move
+    /// has ended.
     fn model_of(&self, view: &PlacementView) -> ModelId {
         let moving = self.moving.get(&view.upstream);
         moving.map_or(view.model, |(model, _)| *model)
     }
 }
 
-/// Upstreams for each model in proportion to its calls, at least one for each.
+/// Divides the upstreams among the models in proportion to their calls, with at
+/// least one for each model that has calls.
 fn shares(demand: &IndexMap<ModelId, u64>, upstreams: usize) -> IndexMap<ModelId, usize> {
     let used: Vec<_> = demand.iter().filter(|(_, calls)| **calls > 0).collect();
     let total: u64 = used.iter().map(|(_, calls)| **calls).sum();
--- a/crates/quay_policy/src/policy.rs
+++ b/crates/quay_policy/src/policy.rs
@@ -1,24 +1,25 @@
-//! A scheduling policy as one type.
+//! Scheduling policies as types.
 
 use crate::{
     AdmissionSettings, ConcurrencyLimit, RetentionSettings, RetrySettings, RouteSettings, Score,
 };
 
-/// Settings of every part of a policy.
+/// Settings of all parts of a policy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PolicySettings {
-    /// Choice of upstream.
+    /// Selection of an upstream.
     pub route: RouteSettings,
-    /// Queue before each upstream.
+    /// Admission queue in front of each upstream.
     pub admit: AdmissionSettings,
-    /// KV memory of programs that pause or have ended.
+    /// KV memory of paused and ended programs.
     pub retain: RetentionSettings,
-    /// Retries after a lost upstream.
+    /// Retries after an upstream was lost.
     pub retry: RetrySettings,
-    /// Calls that an account may have in progress at all entries together;
-    /// zero is no limit.
+    /// Maximum number of calls that an account may have in progress across all
+    /// entries; zero disables the limit.
     pub account_calls: u32,
-    /// Whether requests that crash upstreams become suspects.
+    /// Whether requests that crash upstreams are tracked as suspects and
+    /// quarantined.
     pub quarantine: bool,
 }
 
@@ -35,17 +36,17 @@
     }
 }
 
-/// A scheduling policy: the parts that vary, and their settings.
+/// A scheduling policy: the exchangeable parts and their settings.
 pub trait Policy {
-    /// Rates upstreams for a call.
+    /// Cost function that ranks upstreams for a call.
     type Score: Score;
-    /// How many calls an upstream is given at a time.
+    /// Limit of concurrent calls on an upstream.
     type Limit: ConcurrencyLimit;
 
-    /// Name in reports.
+    /// Name of the policy in reports.
     const NAME: &'static str;
 
-    /// Settings of the parts.
+    /// Settings of all parts; the defaults unless overridden.
     #[must_use]
     fn settings() -> PolicySettings {
         PolicySettings::default()
--- a/crates/quay_policy/src/program_blocks.rs
+++ b/crates/quay_policy/src/program_blocks.rs
@@ -1,23 +1,24 @@
-//! Which blocks of an upstream's cache belong to which program.
+//! Tracks which cached prompt blocks of an upstream belong to which program.
 
 use {
     indexmap::{IndexMap, IndexSet},
     quay_types::ProgramId,
 };
 
-/// Who holds a block.
+/// Programs that hold a block.
 #[derive(Debug, Clone, Copy, Default)]
 struct Holders {
-    /// Programs that hold it; never 0 for a block in the book.
+    /// Number of programs that hold the block; never 0 for a stored block.
     count: u32,
-    /// Whether more than one program has held it.
+    /// Whether more than one program has ever held the block.
     shared: bool,
 }
 
-/// Blocks of the prompts that one upstream has run, by program.
+/// Prompt blocks that one upstream has processed, by program.
 ///
-/// A block that several programs had in their prompts, such as a common system
-/// prompt, is no program's own: it stays under the upstream's own eviction.
+/// A block that appeared in the prompts of several programs, such as a common
+/// system prompt, belongs to none of them and is left to the upstream's own
+/// eviction.
 #[derive(Debug, Default)]
 pub struct ProgramBlocks {
     programs: IndexMap<ProgramId, IndexSet<u64>>,
@@ -25,7 +26,7 @@
 }
 
 impl ProgramBlocks {
-    /// Notes the blocks of a program's prompt.
+    /// Records the blocks of a program's prompt.
     pub fn record(&mut self, program: ProgramId, blocks: &[u64]) {
         let held = self.programs.entry(program).or_default();
         for block in blocks {
@@ -37,14 +38,16 @@
         }
     }
 
-    /// Forgets a program; its own blocks, which the upstream may drop.
+    /// Removes a program and returns the blocks that only this program held,
+    /// which the upstream may release.
     pub fn remove(&mut self, program: ProgramId) -> Box<[u64]> {
         let held = self.programs.swap_remove(&program).unwrap_or_default();
         let own = held.into_iter().filter(|block| self.release(*block));
         own.collect()
     }
 
-    /// Takes a holder off a block; `true` if it was the only one ever.
+    /// Removes one holder from a block; returns `true` if no other program has
+    /// ever held the block.
     fn release(&mut self, block: u64) -> bool {
         let Some(holders) = self.blocks.get_mut(&block) else {
             return false;
@@ -57,13 +60,13 @@
         own
     }
 
-    /// Blocks in the book.
+    /// Number of blocks that are tracked.
     #[must_use]
     pub fn len(&self) -> usize {
         self.blocks.len()
     }
 
-    /// Whether the book is empty.
+    /// Whether no blocks are tracked.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.blocks.is_empty()
--- a/crates/quay_policy/src/retain.rs
+++ b/crates/quay_policy/src/retain.rs
@@ -1,4 +1,4 @@
-//! What happens to the KV memory of programs that pause or have ended.
+//! Retention of the KV memory of paused and ended programs.
 
 use {
     indexmap::IndexMap,
@@ -6,23 +6,26 @@
     std::time::Duration,
 };
 
-/// Weight of the newest pause in the mean, as a divisor.
-const PAUSE_MEAN: u32 = 8;
+/// The newest pause has a weight of 1 / `PAUSE_MEAN_DIVISOR` in the moving
+/// average.
+const PAUSE_MEAN_DIVISOR: u32 = 8;
 
-/// Knobs of retention.
+/// Settings of retention.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RetentionSettings {
-    /// Expected pause from which on KV is exported; zero exports none.
+    /// KV memory is exported when the expected pause is at least this long;
+    /// zero disables export.
     pub export_after: Duration,
-    /// Pauses this many times as long as expected end in a drop of exported KV.
+    /// KV memory of a program is released when its pause exceeds the expected
+    /// pause by this factor.
     pub drop_after_pauses: u32,
-    /// Whether KV of ended programs is released.
+    /// Whether KV memory of ended programs is released.
     pub release: bool,
-    /// Interval at which the ledger is asked which programs have ended.
+    /// Interval between queries to the ledger for programs that have ended.
     pub sweep_interval: Duration,
-    /// Pause that is expected before any was seen.
+    /// Expected pause before any pause was observed.
     pub initial_pause: Duration,
-    /// Programs that are remembered.
+    /// Maximum number of programs that are tracked.
     pub max_programs: usize,
 }
 
@@ -39,137 +42,140 @@
     }
 }
 
-/// What a sidecar is to do.
+/// Action for the sidecar to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RetentionAction {
-    /// Copy the program's KV out of the upstream and release it there.
+    /// Copy the program's KV memory out of the upstream and release it there.
     Export(ProgramId),
-    /// Put the program's exported KV back before its next call.
+    /// Restore the program's exported KV memory before its next call.
     Import(ProgramId),
-    /// Release what the upstream holds for the program, and any exported copy.
+    /// Release the KV memory that the upstream holds for the program, and any
+    /// exported copy.
     Release(ProgramId),
-    /// Ask the ledger which of these programs have ended.
+    /// Query the ledger for which of these programs have ended.
     QueryEnded(Box<[ProgramId]>),
 }
 
-/// What is known of one program at one upstream.
+/// Retention state of one program at one upstream.
 #[derive(Debug, Clone, Copy)]
-struct Held {
+struct ProgramState {
     running: u32,
     idle_since: Time,
     exported: bool,
-    /// Whether the program has ended while a call of it ran.
+    /// Whether the program ended while one of its calls was running.
     ended: bool,
 }
 
-/// KV memory of the programs at one upstream.
+/// Retention state of all programs at one upstream.
 #[derive(Debug)]
 pub struct Retention {
     cfg: RetentionSettings,
-    programs: IndexMap<ProgramId, Held>,
-    pause: Duration,
+    programs: IndexMap<ProgramId, ProgramState>,
+    mean_pause: Duration,
     sweep_due: Time,
 }
 
 impl Retention {
-    /// Knows no program yet.
+    /// Creates a state without programs.
     #[must_use]
     pub fn new(cfg: RetentionSettings) -> Self {
         Self {
             programs: IndexMap::new(),
-            pause: cfg.initial_pause,
+            mean_pause: cfg.initial_pause,
             sweep_due: Time::ZERO + cfg.sweep_interval,
             cfg,
         }
     }
 
-    /// Pause that is expected between two calls of a program.
+    /// Expected pause between two calls of a program, as a moving average.
     #[must_use]
     pub const fn expected_pause(&self) -> Duration {
-        self.pause
+        self.mean_pause
     }
 
-    /// Programs that something may be held for.
+    /// Number of programs for which the upstream may hold KV memory.
     #[must_use]
     pub fn len(&self) -> usize {
         self.programs.len()
     }
 
-    /// Whether nothing is held.
+    /// Whether no programs are tracked.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.programs.is_empty()
     }
 
-    /// A call of a program starts.
+    /// Records the start of a program's call.
     pub fn call_started(&mut self, now: Time, program: ProgramId) -> Vec<RetentionAction> {
         let mut actions = Vec::new();
         if !self.programs.contains_key(&program) {
-            actions.extend(self.make_room());
+            actions.extend(self.evict_longest_idle());
         }
-        let held = self.programs.entry(program).or_insert(Held {
+        let state = self.programs.entry(program).or_insert(ProgramState {
             running: 0,
             idle_since: now,
             exported: false,
             ended: false,
         });
-        if held.running == 0 {
-            let pause = now.since(held.idle_since);
+        if state.running == 0 {
+            let pause = now.since(state.idle_since);
             if !pause.is_zero() {
-                self.pause = (self.pause * (PAUSE_MEAN - 1) + pause) / PAUSE_MEAN;
+                self.mean_pause =
+                    (self.mean_pause * (PAUSE_MEAN_DIVISOR - 1) + pause) / PAUSE_MEAN_DIVISOR;
             }
         }
-        held.running += 1;
-        if std::mem::take(&mut held.exported) {
+        state.running += 1;
+        if std::mem::take(&mut state.exported) {
             actions.push(RetentionAction::Import(program));
         }
         actions
     }
 
-    /// A call of a program has ended; the program pauses unless others run.
+    /// Records the end of a program's call. The program is paused unless other
+    /// calls of the program are running.
     pub fn call_ended(&mut self, now: Time, program: ProgramId) -> Option<RetentionAction> {
-        let held = self.programs.get_mut(&program)?;
-        held.running = held.running.saturating_sub(1);
-        if held.running > 0 {
+        let state = self.programs.get_mut(&program)?;
+        state.running = state.running.saturating_sub(1);
+        if state.running > 0 {
             return None;
         }
-        if held.ended {
+        if state.ended {
             self.programs.swap_remove(&program);
             return Some(RetentionAction::Release(program));
         }
-        held.idle_since = now;
-        let export = !self.cfg.export_after.is_zero() && self.pause >= self.cfg.export_after;
-        held.exported = export;
+        state.idle_since = now;
+        let export = !self.cfg.export_after.is_zero() && self.mean_pause >= self.cfg.export_after;
+        state.exported = export;
         export.then_some(RetentionAction::Export(program))
     }
 
-    /// A program has ended. What a running call still uses is released when the
-    /// call has ended too.
+    /// Records the end of a program. While a call of the program is running,
+    /// the release is deferred until the last call has ended.
     pub fn program_ended(&mut self, program: ProgramId) -> Option<RetentionAction> {
         if !self.cfg.release {
             return None;
         }
-        let held = self.programs.get_mut(&program)?;
-        if held.running > 0 {
-            held.ended = true;
+        let state = self.programs.get_mut(&program)?;
+        if state.running > 0 {
+            state.ended = true;
             return None;
         }
         self.programs.swap_remove(&program);
         Some(RetentionAction::Release(program))
     }
 
-    /// The upstream has lost everything it held.
+    /// Removes all programs, since the upstream has lost its KV memory.
     pub fn clear(&mut self) {
         self.programs.clear();
     }
 
-    /// Does what is due.
+    /// Returns the actions that are due at `now`.
     pub fn tick(&mut self, now: Time) -> Vec<RetentionAction> {
-        let mut actions = self.drop_old(now);
+        let mut actions = self.release_stale(now);
         if self.cfg.release && now >= self.sweep_due {
             self.sweep_due = now + self.cfg.sweep_interval;
-            let idle = self.programs.iter().filter(|(_, held)| {
-                held.running == 0 && now.since(held.idle_since) >= self.cfg.sweep_interval
+            let idle = self.programs.iter().filter(|(_, state)| {
+                state.running == 0 && now.since(state.idle_since) >= self.cfg.sweep_interval
             });
             let idle: Box<[_]> = idle.map(|(program, _)| *program).collect();
             if !idle.is_empty() {
@@ -179,30 +185,32 @@
         actions
     }
 
-    /// Releases programs that pause far longer than expected.
-    fn drop_old(&mut self, now: Time) -> Vec<RetentionAction> {
+    /// Releases programs whose pause far exceeds the expected one.
+    fn release_stale(&mut self, now: Time) -> Vec<RetentionAction> {
         if !self.cfg.release {
             return Vec::new();
         }
-        let limit = self.pause.max(self.cfg.sweep_interval) * self.cfg.drop_after_pauses;
-        let old = |held: &Held| held.running == 0 && now.since(held.idle_since) > limit;
-        let dropped: Vec<_> = self
+        let limit = self.mean_pause.max(self.cfg.sweep_interval) * self.cfg.drop_after_pauses;
+        let stale =
+            |state: &ProgramState| state.running == 0 && now.since(state.idle_since) > limit;
+        let released: Vec<_> = self
             .programs
             .iter()
-            .filter(|(_, held)| old(held))
+            .filter(|(_, state)| stale(state))
             .map(|(program, _)| RetentionAction::Release(*program))
             .collect();
-        self.programs.retain(|_, held| !old(held));
-        dropped
+        self.programs.retain(|_, state| !stale(state));
+        released
     }
 
-    /// Releases the program that has been idle for longest if too many are known.
-    fn make_room(&mut self) -> Option<RetentionAction> {
+    /// Releases the program that has been idle for longest if the maximum
+    /// number of programs is reached.
+    fn evict_longest_idle(&mut self) -> Option<RetentionAction> {
         if self.programs.len() < self.cfg.max_programs {
             return None;
         }
-        let idle = self.programs.iter().filter(|(_, held)| held.running == 0);
-        let oldest = idle.min_by_key(|(_, held)| held.idle_since);
+        let idle = self.programs.iter().filter(|(_, state)| state.running == 0);
+        let oldest = idle.min_by_key(|(_, state)| state.idle_since);
         let program = oldest.map(|(program, _)| *program)?;
         self.programs.swap_remove(&program);
         Some(RetentionAction::Release(program))
--- a/crates/quay_policy/src/route/conversations.rs
+++ b/crates/quay_policy/src/route/conversations.rs
@@ -1,55 +1,56 @@
-//! Which upstream ran the last call of a line of calls.
+//! Upstreams that ran the latest calls of conversations.
 
 use {
     indexmap::IndexMap,
     quay_types::{Incarnation, UpstreamId},
 };
 
-/// The last call of a line.
+/// The latest call of a conversation.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct LastCall {
-    /// The upstream that ran it.
+    /// Upstream that ran the call.
     pub(super) upstream: UpstreamId,
-    /// Incarnation of the sidecar in front of the upstream.
+    /// Incarnation of the upstream's sidecar.
     pub(super) incarnation: Incarnation,
-    /// Blocks of the call's prompt, which the upstream holds since.
+    /// Number of blocks in the call's prompt, which the upstream has cached
+    /// since.
     pub(super) blocks: usize,
 }
 
-/// The last calls of lines that this entry sent.
+/// Latest calls of the conversations that this entry has routed.
 ///
-/// The cache book samples a prompt; this tells exactly who holds the history of
-/// a call that goes on from an earlier one.
+/// The prefix index only samples the blocks of a prompt; this map tells exactly
+/// which upstream holds the history of a call that continues an earlier one.
 #[derive(Debug)]
 pub(super) struct Conversations {
-    /// At most `max` entries.
-    runs: IndexMap<u64, LastCall>,
+    /// Latest call by conversation; at most `max` entries.
+    calls: IndexMap<u64, LastCall>,
     max: usize,
-    /// Next entry that makes room for another one.
+    /// Position of the entry that was evicted last; advances in a ring.
     hand: usize,
 }
 
 impl Conversations {
-    /// Nothing was sent yet; at most `max` lines are remembered.
+    /// Creates an empty map of at most `max` conversations.
     pub(super) fn new(max: usize) -> Self {
         Self {
-            runs: IndexMap::new(),
+            calls: IndexMap::new(),
             max: max.max(1),
             hand: 0,
         }
     }
 
-    /// Notes who runs a call of a line.
-    pub(super) fn put(&mut self, line: u64, run: LastCall) {
-        if self.runs.len() >= self.max && !self.runs.contains_key(&line) {
+    /// Records the upstream that runs a call of a conversation.
+    pub(super) fn put(&mut self, conversation: u64, call: LastCall) {
+        if self.calls.len() >= self.max && !self.calls.contains_key(&conversation) {
             self.hand = (self.hand + 1) % self.max;
-            self.runs.swap_remove_index(self.hand);
+            self.calls.swap_remove_index(self.hand);
         }
-        self.runs.insert(line, run);
+        self.calls.insert(conversation, call);
     }
 
-    /// Who ran the last call of a line.
-    pub(super) fn get(&self, line: u64) -> Option<LastCall> {
-        self.runs.get(&line).copied()
+    /// Returns the latest call of a conversation.
+    pub(super) fn get(&self, conversation: u64) -> Option<LastCall> {
+        self.calls.get(&conversation).copied()
     }
 }
--- a/crates/quay_policy/src/route/load.rs
+++ b/crates/quay_policy/src/route/load.rs
@@ -1,18 +1,20 @@
-//! Load of an upstream, corrected for the age of its report.
+//! Load of an upstream, corrected for events since its last report.
 
 use {
     quay_types::{Load, Time},
     std::{collections::VecDeque, time::Duration},
 };
 
-/// Sends and ends that are remembered for one upstream at most.
+/// Maximum number of recent sends, and of recent ends, kept for one upstream.
 const MAX_RECENT: usize = 512;
 
-/// The latest report and what this process did since.
+/// The latest load report and the calls that this process has sent and finished
+/// since.
 #[derive(Debug, Default)]
 pub(super) struct LoadEstimate {
     report: Option<(Time, Load)>,
-    /// Calls sent, with the tokens that they make the upstream prefill; oldest first.
+    /// Calls sent, with the tokens that each makes the upstream prefill; oldest
+    /// first.
     sent: VecDeque<(Time, u64)>,
     /// Sum of the tokens in `sent`.
     prefill: u64,
@@ -21,7 +23,8 @@
 }
 
 impl LoadEstimate {
-    /// Takes a report of the load as it was at `at`; an older one is ignored.
+    /// Stores a report of the load at time `at`; a report older than the
+    /// present one is ignored.
     pub(super) fn report(&mut self, at: Time, load: Load) {
         if self.report.is_some_and(|(known, _)| known > at) {
             return;
@@ -37,7 +40,7 @@
         self.ended.drain(..known);
     }
 
-    /// Notes a call sent now.
+    /// Records a call sent at `now`.
     pub(super) fn sent(&mut self, now: Time, prefill: u64) {
         if self.sent.len() == MAX_RECENT {
             let oldest = self.sent.pop_front();
@@ -47,7 +50,7 @@
         self.prefill += prefill;
     }
 
-    /// Notes a call ended now.
+    /// Records a call ended at `now`.
     pub(super) fn ended(&mut self, now: Time) {
         if self.ended.len() == MAX_RECENT {
             self.ended.pop_front();
@@ -60,8 +63,8 @@
         self.report.map(|(at, _)| now.since(at))
     }
 
-    /// The load as reported, corrected if wanted. Without a report the load is
-    /// only what was sent.
+    /// Returns the reported load, corrected if `correct` is set. Without a
+    /// report the load consists only of the calls sent.
     pub(super) fn load(&self, correct: bool) -> Load {
         let (_, load) = self.report.unwrap_or_default();
         if !correct {
--- a/crates/quay_policy/src/route/mod.rs
+++ b/crates/quay_policy/src/route/mod.rs
@@ -8,7 +8,7 @@
 mod score;
 mod settings;
 
-/// Scale of weights, factors and rates.
+/// Denominator of weights, factors and rates in thousandths.
 const PER_MILLE: u64 = 1_000;
 
 pub use {
--- a/crates/quay_policy/src/route/prefix_index.rs
+++ b/crates/quay_policy/src/route/prefix_index.rs
@@ -1,34 +1,35 @@
-//! Which upstreams are believed to hold which blocks of prompts.
+//! Index of the upstreams that are believed to hold given prompt blocks.
 
 use indexmap::IndexMap;
 
-/// Upstreams that one book can tell apart.
+/// Maximum number of upstreams in one index.
 pub const MAX_SLOTS: usize = 1_024;
 
-/// Words of a set of slots.
+/// Number of 64-bit words in a bit set of slots.
 const WORDS: usize = MAX_SLOTS / 64;
 
-/// Leading blocks of a prompt that are all looked at.
+/// Leading blocks of a prompt that are all indexed.
 const DENSE: usize = 8;
 
-/// Beyond these, one block in so many is looked at.
+/// Beyond these, one block in `STRIDE` is indexed.
 const STRIDE: usize = 8;
 
-/// Depth from which on only one block in [`WIDE_STRIDE`] is looked at, so that
-/// the longest histories cost no more than a few dozen look-ups.
+/// Depth from which only one block in [`WIDE_STRIDE`] is indexed, so that the
+/// longest prompts need no more than a few dozen look-ups.
 const WIDE_FROM: usize = DENSE + 32 * STRIDE;
 
 /// Stride beyond [`WIDE_FROM`].
 const WIDE_STRIDE: usize = 64;
 
-/// Depths that one lookup visits at most below the deepest that is held.
+/// Maximum number of depths that one lookup visits, starting at the deepest
+/// block held.
 const MAX_PROBES: usize = 24;
 
-/// Place of an upstream in a book.
+/// Position of an upstream in an index.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Slot(pub u16);
 
-/// A set of slots.
+/// A bit set of slots.
 #[derive(Debug, Clone, Copy, Default)]
 struct Holders([u64; WORDS]);
 
@@ -46,78 +47,80 @@
     }
 }
 
-/// One remembered block.
+/// An indexed block.
 #[derive(Debug, Default)]
-struct Line {
+struct Entry {
     holders: Holders,
-    /// Whether the block was of use since the hand last passed.
+    /// Whether the block was used since the clock hand last passed.
     used: bool,
 }
 
-/// How complete the events of one upstream are.
+/// How complete the received cache events of one upstream are.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum FeedState {
-    /// Nothing was heard.
+    /// No event was received.
     #[default]
     NotStarted,
-    /// Every event up to this sequence number was heard.
+    /// All events up to this sequence number were received.
     Complete(u64),
-    /// Events are missing before this sequence number; a snapshot is needed.
+    /// Events before this sequence number are missing; a snapshot is needed.
     Gap(u64),
 }
 
-/// A bounded book of prefix blocks and their holders.
+/// Bounded index from prefix blocks to their holders.
 ///
-/// It is fed by what was sent, by what upstreams said they found, and by cache
-/// events that come late and with gaps. Being wrong costs a prefill, no more.
+/// Its sources are the calls sent, the cache hits that upstreams report, and
+/// cache events, which arrive late and with gaps. A wrong entry costs an
+/// unnecessary prefill and nothing else.
 #[derive(Debug)]
 pub struct PrefixIndex {
-    /// At most `max_blocks` lines.
-    lines: IndexMap<u64, Line>,
+    /// At most `max_blocks` entries.
+    entries: IndexMap<u64, Entry>,
     max_blocks: usize,
-    /// Next line that may be forgotten.
+    /// Clock hand: the next entry to consider for eviction.
     hand: usize,
     feeds: Vec<FeedState>,
 }
 
 impl PrefixIndex {
-    /// An empty book of at most `max_blocks` blocks.
+    /// Creates an empty index of at most `max_blocks` blocks.
     #[must_use]
     pub fn new(max_blocks: usize) -> Self {
         Self {
-            lines: IndexMap::new(),
+            entries: IndexMap::new(),
             max_blocks: max_blocks.max(1),
             hand: 0,
             feeds: Vec::new(),
         }
     }
 
-    /// Blocks that are remembered.
+    /// Number of indexed blocks.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.lines.len()
+        self.entries.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Whether no blocks are indexed.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.lines.is_empty()
+        self.entries.is_empty()
     }
 
     // -----------------------------------------------------------------------
-    // What is learned
+    // Updates
 
-    /// Notes that an upstream will hold the blocks of a prompt sent to it.
+    /// Records that an upstream will hold the blocks of a prompt sent to it.
     pub fn record_sent(&mut self, slot: Slot, blocks: &[u64]) {
-        for depth in probes(blocks.len()) {
+        for depth in sampled_depths(blocks.len()) {
             self.store(slot, blocks[depth]);
         }
     }
 
-    /// Notes that an upstream found only the first `held` blocks of a prompt.
+    /// Records that an upstream held only the first `held` blocks of a prompt.
     ///
-    /// What it prefilled since then it holds, so only a later lookup by another
-    /// prompt is corrected: blocks from `held` to `known` were wrong.
+    /// Removes the blocks from `held` to `known`. The upstream holds them once
+    /// it has prefilled them, so the removal affects only lookups of later
+    /// prompts.
     pub fn record_miss(&mut self, slot: Slot, blocks: &[u64], held: usize, known: usize) {
         let end = known.min(blocks.len());
         for hash in blocks.get(held..end).unwrap_or_default() {
@@ -125,7 +128,7 @@
         }
     }
 
-    /// Takes an event that says a block is held.
+    /// Applies a cache event that reports a block as stored.
     pub fn apply_stored(&mut self, slot: Slot, sequence: u64, hash: u64) -> FeedState {
         let state = self.advance(slot, sequence);
         if is_new(state, sequence) {
@@ -134,7 +137,7 @@
         state
     }
 
-    /// Takes an event that says a block is no longer held.
+    /// Applies a cache event that reports a block as evicted.
     pub fn apply_evicted(&mut self, slot: Slot, sequence: u64, hash: u64) -> FeedState {
         let state = self.advance(slot, sequence);
         if is_new(state, sequence) {
@@ -143,11 +146,11 @@
         state
     }
 
-    /// Forgets all that an upstream held, and where its events stood.
+    /// Removes all blocks of an upstream and resets its event sequence.
     pub fn clear_slot(&mut self, slot: Slot) {
-        self.lines.retain(|_, line| {
-            line.holders.unset(slot);
-            !line.holders.is_empty()
+        self.entries.retain(|_, entry| {
+            entry.holders.unset(slot);
+            !entry.holders.is_empty()
         });
         self.hand = 0;
         if let Some(feed) = self.feeds.get_mut(usize::from(slot.0)) {
@@ -155,7 +158,7 @@
         }
     }
 
-    /// Takes a snapshot of all that an upstream holds; closes any gap.
+    /// Replaces the blocks of an upstream by a snapshot, which closes any gap.
     pub fn apply_snapshot(&mut self, slot: Slot, sequence: u64, hashes: &[u64]) {
         self.clear_slot(slot);
         for hash in hashes {
@@ -164,14 +167,14 @@
         *self.feed(slot) = FeedState::Complete(sequence);
     }
 
-    /// How complete the events of an upstream are.
+    /// How complete the received events of an upstream are.
     #[must_use]
     pub fn feed_state(&self, slot: Slot) -> FeedState {
         let feed = self.feeds.get(usize::from(slot.0));
         feed.copied().unwrap_or_default()
     }
 
-    /// Moves a feed on to `sequence`; an old event leaves it as it is.
+    /// Advances a feed to `sequence`; an old event leaves the feed unchanged.
     fn advance(&mut self, slot: Slot, sequence: u64) -> FeedState {
         let feed = self.feed(slot);
         *feed = match *feed {
@@ -192,62 +195,65 @@
     }
 
     fn store(&mut self, slot: Slot, hash: u64) {
-        if !self.lines.contains_key(&hash) && self.lines.len() >= self.max_blocks {
-            self.make_room();
+        if !self.entries.contains_key(&hash) && self.entries.len() >= self.max_blocks {
+            self.evict_entry();
         }
-        let line = self.lines.entry(hash).or_default();
-        line.holders.set(slot);
-        line.used = true;
+        let entry = self.entries.entry(hash).or_default();
+        entry.holders.set(slot);
+        entry.used = true;
     }
 
     fn evict(&mut self, slot: Slot, hash: u64) {
-        if let Some(line) = self.lines.get_mut(&hash) {
-            line.holders.unset(slot);
+        if let Some(entry) = self.entries.get_mut(&hash) {
+            entry.holders.unset(slot);
         }
     }
 
-    /// Forgets the first line, from the hand on, that was of no use of late.
-    fn make_room(&mut self) {
+    /// Evicts one entry by the clock (second-chance) algorithm: the first entry
+    /// from the hand on that has no holders or was not used since the last
+    /// pass.
+    fn evict_entry(&mut self) {
         loop {
-            if self.hand >= self.lines.len() {
+            if self.hand >= self.entries.len() {
                 self.hand = 0;
             }
-            let Some((_, line)) = self.lines.get_index_mut(self.hand) else {
+            let Some((_, entry)) = self.entries.get_index_mut(self.hand) else {
                 return;
             };
-            if !line.used || line.holders.is_empty() {
-                self.lines.swap_remove_index(self.hand);
+            if !entry.used || entry.holders.is_empty() {
+                self.entries.swap_remove_index(self.hand);
                 return;
             }
-            line.used = false;
+            entry.used = false;
             self.hand += 1;
         }
     }
 
     // -----------------------------------------------------------------------
-    // What is asked
+    // Lookup
 
-    /// Writes to `depths` how many leading blocks each slot is believed to hold.
+    /// Writes to `depths` how many leading blocks each slot is believed to
+    /// hold.
     ///
-    /// Holders of a block hold what comes before it, so a binary search finds
-    /// the deepest block that anybody holds.
+    /// A holder of a block also holds the blocks before it, so a binary search
+    /// finds the deepest block that any upstream holds.
     pub fn lookup(&mut self, blocks: &[u64], depths: &mut Vec<u32>, slots: usize) {
         depths.clear();
         depths.resize(slots, 0);
-        let grid = Grid(blocks.len());
+        let grid = SampleGrid(blocks.len());
         let held = partition(grid.len(), |at| {
-            self.holders(blocks[Grid::depth(at)]).is_some()
+            self.held_entry(blocks[SampleGrid::depth(at)]).is_some()
         });
         let mut seen = Holders::default();
         let step = held.div_ceil(MAX_PROBES).max(1);
         for at in (0..held).rev().step_by(step) {
-            let depth = Grid::depth(at);
-            let Some(line) = self.lines.get_mut(&blocks[depth]) else {
+            let depth = SampleGrid::depth(at);
+            let Some(entry) = self.entries.get_mut(&blocks[depth]) else {
                 continue;
             };
-            line.used = true;
+            entry.used = true;
             for word in 0..WORDS {
-                let mut fresh = line.holders.0[word] & !seen.0[word];
+                let mut fresh = entry.holders.0[word] & !seen.0[word];
                 seen.0[word] |= fresh;
                 while fresh != 0 {
                     let slot = word * 64 + fresh.trailing_zeros() as usize;
@@ -260,30 +266,30 @@
         }
     }
 
-    /// The line of a block that somebody holds.
-    fn holders(&self, hash: u64) -> Option<&Line> {
-        self.lines
+    /// Returns the entry of a block that has at least one holder.
+    fn held_entry(&self, hash: u64) -> Option<&Entry> {
+        self.entries
             .get(&hash)
-            .filter(|line| !line.holders.is_empty())
+            .filter(|entry| !entry.holders.is_empty())
     }
 }
 
-/// Whether an event with this number may change the book.
+/// Whether an event with this sequence number may change the index.
 fn is_new(state: FeedState, sequence: u64) -> bool {
     state == FeedState::Complete(sequence) || state == FeedState::Gap(sequence)
 }
 
-/// Depths of a prompt of so many blocks that the book looks at.
-struct Grid(usize);
+/// Depths that are indexed in a prompt of the given number of blocks.
+struct SampleGrid(usize);
 
-impl Grid {
+impl SampleGrid {
     fn len(&self) -> usize {
         let strided = self.0.min(WIDE_FROM).saturating_sub(DENSE) / STRIDE;
         let wide = self.0.saturating_sub(WIDE_FROM) / WIDE_STRIDE;
         self.0.min(DENSE) + strided + wide
     }
 
-    /// Depth of the block at a place of the grid; the same for every prompt.
+    /// Depth of the block at a position of the grid; the same for all prompts.
     fn depth(at: usize) -> usize {
         let strided = DENSE + (WIDE_FROM - DENSE) / STRIDE;
         if at < DENSE {
@@ -296,13 +302,13 @@
     }
 }
 
-/// Every depth that the book looks at.
-fn probes(len: usize) -> impl Iterator<Item = usize> {
-    let grid = Grid(len);
-    (0..grid.len()).map(Grid::depth)
+/// Returns all indexed depths.
+fn sampled_depths(len: usize) -> impl Iterator<Item = usize> {
+    let grid = SampleGrid(len);
+    (0..grid.len()).map(SampleGrid::depth)
 }
 
-/// First place in `0..len` at which `holds` is false.
+/// Returns the first position in `0..len` at which `holds` is false.
 fn partition(len: usize, holds: impl Fn(usize) -> bool) -> usize {
     let (mut low, mut high) = (0, len);
     while low < high {
--- a/crates/quay_policy/src/route/rating.rs
+++ b/crates/quay_policy/src/route/rating.rs
@@ -1,4 +1,4 @@
-//! How an upstream does against its peers, from what its calls met.
+//! Rating of an upstream against its peers by the outcome of its calls.
 
 use {
     super::PER_MILLE,
@@ -7,56 +7,57 @@
     std::{cmp::Ordering, time::Duration},
 };
 
-/// Calls from which on a mean says something: those that replace most of the
-/// first one's weight.
-const LEAST_CALLS: u32 = 4;
+/// Minimum number of calls for a meaningful mean: by then the first call has
+/// lost most of its weight.
+const MIN_CALLS: u32 = 4;
 
-/// Weight of a call that took longer than the mean: one in so many, so that a
-/// single one of twice the time does not pass for slowness.
+/// A call slower than the mean has a weight of 1 / `SLOWER_WEIGHT`, so that a
+/// single call of twice the time does not mark the upstream as slow.
 const SLOWER_WEIGHT: u32 = 4;
 
-/// Weight of one that took less: an upstream that has recovered is found so
-/// after two or three calls.
+/// A call faster than the mean has a weight of 1 / `FASTER_WEIGHT`, so that a
+/// recovered upstream is recognised after two or three calls.
 const FASTER_WEIGHT: u32 = 2;
 
-/// Weight of one call in the rate of failures: one in so many, about what is
-/// under way at an upstream.
+/// A call has a weight of 1 / `FAILURE_WEIGHT` in the failure rate. The value is
+/// about the number of calls in flight on one upstream.
 const FAILURE_WEIGHT: u64 = 8;
 
-/// Weight of a call that went well at an upstream that counts as failing: few
-/// are sent there.
-const RETRIAL_WEIGHT: u64 = 2;
+/// A successful call has a weight of 1 / `PROBE_SUCCESS_WEIGHT` at an upstream
+/// that counts as failing, since few calls are sent there.
+const PROBE_SUCCESS_WEIGHT: u64 = 2;
 
-/// What one caller has seen of an upstream.
+/// Outcomes of the calls that one caller has sent to an upstream.
 ///
-/// Time is only compared among peers that do the same work, so it needs no
-/// scale. What is bad is forgotten after a while, or the upstream, which gets
-/// no calls any more, would never be found to have recovered.
+/// Times are compared only among peers that do the same work, so they need no
+/// common scale. A bad rating expires after [`RouteSettings::probe_interval`];
+/// otherwise the upstream would get no more calls and its recovery would never
+/// be noticed.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct PeerRating {
     mean: Duration,
     calls: u32,
-    /// Rate of failures, in thousandths.
-    failing: u64,
-    /// When it last was sent a call, or a call of it ended.
-    last: Time,
+    /// Failure rate in thousandths.
+    failure_rate: u64,
+    /// Time at which a call was last sent to the upstream or ended there.
+    last_activity: Time,
 }
 
 impl PeerRating {
-    /// A call was sent.
+    /// Records that a call was sent.
     pub(super) fn sent(&mut self, now: Time) {
-        self.last = now;
+        self.last_activity = now;
     }
 
-    /// A call has ended well, and took so long.
-    pub(super) fn served(&mut self, cfg: &RouteSettings, now: Time, took: Duration) {
-        self.last = now;
-        let weight = if self.failing >= cfg.failing_threshold {
-            RETRIAL_WEIGHT
+    /// Records a successful call and its duration.
+    pub(super) fn succeeded(&mut self, cfg: &RouteSettings, now: Time, took: Duration) {
+        self.last_activity = now;
+        let weight = if self.failure_rate >= cfg.failing_threshold {
+            PROBE_SUCCESS_WEIGHT
         } else {
             FAILURE_WEIGHT
         };
-        self.failing -= self.failing.div_ceil(weight);
+        self.failure_rate -= self.failure_rate.div_ceil(weight);
         let weight = match took.cmp(&self.mean) {
             _ if self.calls == 0 => 1,
             Ordering::Greater => SLOWER_WEIGHT,
@@ -66,20 +67,21 @@
         self.calls = self.calls.saturating_add(1);
     }
 
-    /// The upstream lost or spoilt a call.
+    /// Records that the upstream lost or corrupted a call.
     pub(super) fn failed(&mut self, now: Time) {
-        self.last = now;
-        self.failing += (PER_MILLE - self.failing) / FAILURE_WEIGHT;
+        self.last_activity = now;
+        self.failure_rate += (PER_MILLE - self.failure_rate) / FAILURE_WEIGHT;
     }
 
-    /// Mean time of a call, if enough have ended.
+    /// Mean duration of a call, if enough calls have ended.
     pub(super) fn mean(&self) -> Option<Duration> {
-        (self.calls >= LEAST_CALLS).then_some(self.mean)
+        (self.calls >= MIN_CALLS).then_some(self.mean)
     }
 
-    /// Factor on the cost of a call, in thousandths, where peers take `typical`.
+    /// Factor on the cost of a call, in thousandths, where calls to peers take
+    /// `typical`.
     pub(super) fn factor(&self, cfg: &RouteSettings, now: Time, typical: Option<Duration>) -> u64 {
-        if now.since(self.last) >= cfg.probe_interval {
+        if now.since(self.last_activity) >= cfg.probe_interval {
             return PER_MILLE;
         }
         let ratio = match (self.mean(), typical) {
@@ -94,8 +96,8 @@
         } else {
             PER_MILLE
         };
-        let failing = if self.failing >= cfg.failing_threshold {
-            self.failing * cfg.failure_weight
+        let failing = if self.failure_rate >= cfg.failing_threshold {
+            self.failure_rate * cfg.failure_weight
         } else {
             0
         };
@@ -103,8 +105,8 @@
     }
 }
 
-/// Time that a call takes at the better upstreams: the first quartile, so that
-/// a slow minority, and up to two thirds of them, don't pass for usual.
+/// Returns the first quartile of the mean durations, so that slow upstreams do
+/// not count as typical even if they are up to two thirds of all.
 pub(super) fn typical(means: &mut [Duration]) -> Option<Duration> {
     means.sort_unstable();
     means.get(means.len() / 4).copied()
--- a/crates/quay_policy/src/route/router.rs
+++ b/crates/quay_policy/src/route/router.rs
@@ -1,4 +1,4 @@
-//! Routing state of one entry.
+//! Selects upstreams for the calls of one entry.
 
 use {
     super::{
@@ -17,78 +17,79 @@
     std::{marker::PhantomData, net::SocketAddr, time::Duration},
 };
 
-/// Tokens in a block of a prompt.
+/// Tokens per prompt block.
 const BLOCK_TOKENS: u64 = 64;
 
-/// A call that needs an upstream.
+/// A call to be routed.
 #[derive(Debug, Clone, Copy)]
 pub struct RouteRequest<'a> {
-    /// What is to be run.
+    /// Model or service that is called.
     pub target: CallTarget,
     /// Program of the call.
     pub program: ProgramId,
-    /// Whether the program may have made calls before, so that its home may
-    /// hold its history.
+    /// Whether the program may have made calls before, in which case its home
+    /// upstream may hold its history.
     pub has_history: bool,
-    /// The lines of calls that this one goes on from, nearest first: its own
-    /// line, and the one that this branched off from.
+    /// Conversations that the call continues, nearest first: its own, and the
+    /// one that its own branched off from.
     pub conversations: &'a [u64],
     /// Length of the prompt.
     pub prompt: Tokens,
     /// Chained hashes of the prompt's blocks.
     pub blocks: &'a [u64],
-    /// Upstreams that refused or lost the call already.
+    /// Upstreams that have already refused or lost the call.
     pub tried: &'a [UpstreamId],
 }
 
-/// An upstream chosen for a call.
+/// Upstream selected for a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RouteChoice {
-    /// The upstream.
+    /// Identifier of the upstream.
     pub upstream: UpstreamId,
-    /// Run of its sidecar.
+    /// Incarnation of the upstream's sidecar.
     pub incarnation: Incarnation,
-    /// Address of its sidecar.
+    /// Address of the upstream's sidecar.
     pub addr: SocketAddr,
-    /// Leading blocks of the prompt that the book believes it to hold.
+    /// Number of leading prompt blocks that the prefix index expects the
+    /// upstream to hold.
     pub cached_blocks: u32,
 }
 
-/// One known upstream.
+/// State of one upstream.
 #[derive(Debug)]
 struct Upstream {
     announcement: Announcement,
     load: LoadEstimate,
     rating: PeerRating,
-    heard: Time,
+    last_heard: Time,
     slot: Slot,
     remote: bool,
 }
 
-/// Routing state of one entry, for upstreams rated by `S`.
+/// Routing state of one entry, with `S` as the cost function.
 #[derive(Debug)]
 pub struct Router<S> {
     cfg: RouteSettings,
     data_centre: Box<str>,
     upstreams: IndexMap<UpstreamId, Upstream>,
-    /// Slots of upstreams that have gone, ready for others.
+    /// Slots of removed upstreams, available for reuse.
     free_slots: Vec<Slot>,
     used_slots: u16,
     index: PrefixIndex,
     conversations: Conversations,
-    /// Blocks held by each slot for the call at hand.
+    /// Blocks held by each slot for the current call.
     depths: Vec<u32>,
-    /// Upstreams that serve the call at hand.
-    fitting: Vec<usize>,
-    /// Costs of the upstreams that fit the call at hand.
+    /// Upstreams eligible for the current call, by position.
+    eligible: Vec<usize>,
+    /// Costs of the upstreams considered for the current call, by position.
     costs: Vec<(u64, usize)>,
-    /// Mean times of the upstreams that serve the call at hand.
+    /// Mean call durations of the upstreams eligible for the current call.
     means: Vec<Duration>,
     score: PhantomData<S>,
 }
 
 impl<S: Score> Router<S> {
-    /// A router in a data centre that knows no upstreams yet.
+    /// Creates a router for an entry in `data_centre`, without upstreams.
     #[must_use]
     pub fn new(cfg: RouteSettings, data_centre: impl Into<Box<str>>) -> Self {
         Self {
@@ -99,7 +100,7 @@
             index: PrefixIndex::new(cfg.max_index_blocks),
             conversations: Conversations::new(cfg.max_conversations),
             depths: Vec::new(),
-            fitting: Vec::new(),
+            eligible: Vec::new(),
             costs: Vec::new(),
             means: Vec::new(),
             score: PhantomData,
@@ -107,18 +108,18 @@
         }
     }
 
-    /// The cache book, and the place of an upstream in it.
+    /// Returns the prefix index and an upstream's slot in it.
     pub fn prefix_index(&mut self, id: UpstreamId) -> Option<(&mut PrefixIndex, Slot)> {
         let slot = self.upstreams.get(&id)?.slot;
         Some((&mut self.index, slot))
     }
 
-    /// Upstreams that are known.
+    /// Returns the ids of all known upstreams.
     pub fn upstream_ids(&self) -> impl Iterator<Item = UpstreamId> {
         self.upstreams.keys().copied()
     }
 
-    /// Where the sidecar of an upstream is; nothing is known of its cache.
+    /// Returns the address of an upstream's sidecar, with no cached blocks.
     #[must_use]
     pub fn find(&self, id: UpstreamId) -> Option<RouteChoice> {
         let announcement = &self.upstreams.get(&id)?.announcement;
@@ -131,16 +132,17 @@
     }
 
     // -----------------------------------------------------------------------
-    // What is learned
+    // Updates
 
-    /// Takes an announcement that was made at `made`; an older one is ignored.
+    /// Applies an announcement made at `made`; one older than the last is
+    /// ignored.
     pub fn apply_announcement(&mut self, made: Time, announcement: &Announcement) {
         let id = announcement.upstream();
         let remote = announcement.data_centre != self.data_centre;
         let age = Duration::from_millis(announcement.load.age_ms.into());
         if let Some(known) = self.upstreams.get_mut(&id) {
-            let order = |of: &Announcement| (of.incarnation, of.sequence);
-            if order(announcement) < order(&known.announcement) {
+            let version = |of: &Announcement| (of.incarnation, of.sequence);
+            if version(announcement) < version(&known.announcement) {
                 return;
             }
             if known.announcement.incarnation != announcement.incarnation {
@@ -150,11 +152,11 @@
             }
             known.load.report(made - age, announcement.load);
             known.announcement = announcement.clone();
-            known.heard = made;
+            known.last_heard = made;
             known.remote = remote;
             return;
         }
-        // More upstreams than slots: the rest stay unknown to this entry.
+        // Upstreams in excess of the slots are ignored by this entry.
         let Some(slot) = self.take_slot() else { return };
         let mut load = LoadEstimate::default();
         load.report(made - age, announcement.load);
@@ -162,14 +164,14 @@
             announcement: announcement.clone(),
             load,
             rating: PeerRating::default(),
-            heard: made,
+            last_heard: made,
             slot,
             remote,
         };
         self.upstreams.insert(id, upstream);
     }
 
-    /// Forgets an upstream.
+    /// Removes an upstream.
     pub fn remove(&mut self, id: UpstreamId) {
         if let Some(upstream) = self.upstreams.shift_remove(&id) {
             self.index.clear_slot(upstream.slot);
@@ -177,39 +179,40 @@
         }
     }
 
-    /// Forgets every upstream that is not listed.
+    /// Removes all upstreams that are not listed.
     pub fn retain_only(&mut self, listed: &[UpstreamId]) {
-        let gone: Vec<_> = self
+        let unlisted: Vec<_> = self
             .upstream_ids()
             .filter(|id| !listed.contains(id))
             .collect();
-        for id in gone {
+        for id in unlisted {
             self.remove(id);
         }
     }
 
-    /// Notes that a call sent to an upstream has ended there.
+    /// Records that a call sent to an upstream has ended there.
     pub fn record_end(&mut self, now: Time, id: UpstreamId) {
         if let Some(upstream) = self.upstreams.get_mut(&id) {
             upstream.load.ended(now);
         }
     }
 
-    /// Notes that a call ended well, and how long a unit of its work took.
+    /// Records a successful call and the duration per unit of its work.
     pub fn record_success(&mut self, now: Time, id: UpstreamId, took: Duration) {
         if let Some(upstream) = self.upstreams.get_mut(&id) {
-            upstream.rating.served(&self.cfg, now, took);
+            upstream.rating.succeeded(&self.cfg, now, took);
         }
     }
 
-    /// Notes that an upstream lost or spoilt a call.
+    /// Records that an upstream lost or corrupted a call.
     pub fn record_failure(&mut self, now: Time, id: UpstreamId) {
         if let Some(upstream) = self.upstreams.get_mut(&id) {
             upstream.rating.failed(now);
         }
     }
 
-    /// Notes how many leading blocks an upstream found, against those expected.
+    /// Records how many leading blocks an upstream held, compared with the
+    /// expected number.
     pub fn record_cached(&mut self, id: UpstreamId, blocks: &[u64], held: u32, expected: u32) {
         if held >= expected {
             return;
@@ -231,12 +234,12 @@
     }
 
     // -----------------------------------------------------------------------
-    // What is decided
+    // Selection
 
-    /// Chooses an upstream for a call and notes the call as sent to it.
+    /// Selects an upstream for a call and records the call as sent to it.
     ///
-    /// `draw` is a random number; it spreads calls over upstreams that are
-    /// equally good, so that entries with the same reports do not all choose
+    /// `draw` is a random number that spreads calls over equally good
+    /// upstreams, so that entries with the same load reports do not all select
     /// the same one.
     pub fn pick(&mut self, now: Time, req: &RouteRequest<'_>, draw: u64) -> Option<RouteChoice> {
         let slots = usize::from(self.used_slots);
@@ -246,9 +249,9 @@
             self.depths.clear();
             self.depths.resize(slots, 0);
         }
-        self.rate(now, req, false);
+        self.compute_costs(now, req, false);
         if self.costs.is_empty() {
-            self.rate(now, req, true);
+            self.compute_costs(now, req, true);
         }
         let best = self.costs.iter().map(|(cost, _)| *cost).min()?;
         let spread = u64::try_from(self.cfg.spread.as_micros()).unwrap_or(u64::MAX);
@@ -259,29 +262,31 @@
         self.send(now, req, at)
     }
 
-    /// Rates every upstream that fits; the silent ones only as a last resort.
-    fn rate(&mut self, now: Time, req: &RouteRequest<'_>, last_resort: bool) {
+    /// Computes the cost of each eligible upstream that has sent announcements
+    /// recently, or with `last_resort` of each one that has not.
+    fn compute_costs(&mut self, now: Time, req: &RouteRequest<'_>, last_resort: bool) {
         self.costs.clear();
-        self.fitting.clear();
-        let fitting = self.upstreams.values().zip(0..);
-        let fitting = fitting.filter(|(upstream, _)| fits(&upstream.announcement, req.target));
-        self.fitting.extend(fitting.map(|(_, at)| at));
+        self.eligible.clear();
+        let eligible = self.upstreams.values().zip(0..);
+        let eligible =
+            eligible.filter(|(upstream, _)| is_eligible(&upstream.announcement, req.target));
+        self.eligible.extend(eligible.map(|(_, at)| at));
         let typical = self.typical();
-        let ran = self.ran(req);
-        let home = ran.is_none().then(|| self.home(req)).flatten();
-        for at in self.fitting.iter().copied() {
+        let previous = self.previous_upstream(req);
+        let home = previous.is_none().then(|| self.home(req)).flatten();
+        for at in self.eligible.iter().copied() {
             let Some((id, upstream)) = self.upstreams.get_index(at) else {
                 continue;
             };
             if req.tried.contains(id) {
                 continue;
             }
-            let silent = now.since(upstream.heard) > self.cfg.silent_after;
+            let silent = now.since(upstream.last_heard) > self.cfg.silent_after;
             if silent != last_resort {
                 continue;
             }
             let depth = self.depths[usize::from(upstream.slot.0)];
-            let trusted = match ran {
+            let trusted = match previous {
                 Some((runner, blocks)) if runner == *id => blocks.min(req.blocks.len()) as u64,
                 None if home == Some(*id) => {
                     req.blocks.len() as u64 * self.cfg.home_weight / PER_MILLE
@@ -303,44 +308,45 @@
         }
     }
 
-    /// Time that a call takes at the better of the upstreams that fit.
+    /// First quartile of the call durations at the eligible upstreams.
     fn typical(&mut self) -> Option<Duration> {
         self.means.clear();
-        for at in &self.fitting {
+        for at in &self.eligible {
             let known = self.upstreams.get_index(*at);
             self.means
-                .extend(known.and_then(|(_, it)| it.rating.mean()));
+                .extend(known.and_then(|(_, upstream)| upstream.rating.mean()));
         }
         typical(&mut self.means)
     }
 
-    /// The upstream to which this entry sent the last call of a line, and the
-    /// blocks of that call's prompt.
-    fn ran(&self, req: &RouteRequest<'_>) -> Option<(UpstreamId, usize)> {
-        req.conversations.iter().find_map(|line| {
-            let run = self.conversations.get(*line)?;
-            let known = self.upstreams.get(&run.upstream)?;
-            let same = known.announcement.incarnation == run.incarnation;
-            same.then_some((run.upstream, run.blocks))
+    /// Returns the upstream to which this entry sent the latest call of a
+    /// conversation, and the number of blocks in that call's prompt.
+    fn previous_upstream(&self, req: &RouteRequest<'_>) -> Option<(UpstreamId, usize)> {
+        req.conversations.iter().find_map(|conversation| {
+            let call = self.conversations.get(*conversation)?;
+            let known = self.upstreams.get(&call.upstream)?;
+            let same = known.announcement.incarnation == call.incarnation;
+            same.then_some((call.upstream, call.blocks))
         })
     }
 
-    /// The upstream that every entry agrees on for a program under way, by
-    /// rendezvous hashing: entries share no state, and a program's calls come
-    /// through any of them.
+    /// Returns the home upstream of a program that has made calls before.
+    ///
+    /// All entries compute the same home by rendezvous hashing, because entries
+    /// share no state and any of them may receive a program's calls.
     fn home(&self, req: &RouteRequest<'_>) -> Option<UpstreamId> {
         if !S::USES_PREFIX_INDEX || self.cfg.home_weight == 0 || !req.has_history {
             return None;
         }
         let program = mix(req.program.root);
         let ids = self
-            .fitting
+            .eligible
             .iter()
             .filter_map(|at| self.upstreams.get_index(*at));
         ids.map(|(id, _)| *id).max_by_key(|id| mix(id.0 ^ program))
     }
 
-    /// Notes the call as sent to the upstream at `at`.
+    /// Records the call as sent to the upstream at position `at`.
     fn send(&mut self, now: Time, req: &RouteRequest<'_>, at: usize) -> Option<RouteChoice> {
         let (id, upstream) = self.upstreams.get_index_mut(at)?;
         let held = self.depths[usize::from(upstream.slot.0)];
@@ -355,21 +361,21 @@
         };
         if S::USES_PREFIX_INDEX {
             self.index.record_sent(upstream.slot, req.blocks);
-            if let Some(line) = req.conversations.first() {
-                let run = LastCall {
+            if let Some(conversation) = req.conversations.first() {
+                let call = LastCall {
                     upstream: choice.upstream,
                     incarnation: choice.incarnation,
                     blocks: req.blocks.len(),
                 };
-                self.conversations.put(*line, run);
+                self.conversations.put(*conversation, call);
             }
         }
         Some(choice)
     }
 }
 
-/// Whether an upstream serves `target` and takes new work.
-fn fits(announcement: &Announcement, target: CallTarget) -> bool {
+/// Whether an upstream serves `target` and accepts new calls.
+fn is_eligible(announcement: &Announcement, target: CallTarget) -> bool {
     let serves = match (&announcement.kind, target) {
         (UpstreamKind::Engine { models }, CallTarget::Model(model)) => models.contains(&model),
         (UpstreamKind::Service { service }, CallTarget::Service(wanted)) => *service == wanted,
@@ -378,7 +384,7 @@
     serves && announcement.state == UpstreamState::Serving
 }
 
-/// The finaliser of splitmix64.
+/// Finaliser of the splitmix64 generator.
 fn mix(value: u64) -> u64 {
     let value = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/quay_policy/src/route/score.rs
+++ b/crates/quay_policy/src/route/score.rs
@@ -1,33 +1,34 @@
-//! Ways to rate an upstream for a call.
+//! Cost functions that rank upstreams for a call.
 
 use {super::PER_MILLE, crate::RouteSettings, quay_types::Load};
 
-/// What is known of an upstream when a call is to be sent.
+/// State of an upstream as seen when a call is routed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct UpstreamView {
-    /// Its load, corrected for the age of the report.
+    /// Load, corrected for the age of the report.
     pub load: Load,
-    /// Whether the report is missing or too old to be relied on.
+    /// Whether the load report is missing or too old to be reliable.
     pub stale: bool,
-    /// Whether it is in another data centre.
+    /// Whether the upstream is in another data centre.
     pub remote: bool,
-    /// Tokens of the prompt that it would have to prefill.
+    /// Tokens of the prompt that the upstream would have to prefill.
     pub uncached_tokens: u64,
-    /// Factor on what it takes, against peers, in thousandths; 1,000 and less
-    /// say nothing.
+    /// Factor on the cost compared with peers, in thousandths; values up to
+    /// 1,000 have no effect.
     pub slowdown: u64,
 }
 
-/// Rates upstreams; the lowest cost is chosen.
+/// Cost function of upstreams; the one with the lowest cost is selected.
 pub trait Score {
-    /// Whether the cache book is asked what each upstream holds.
+    /// Whether the cost depends on the blocks that each upstream holds.
     const USES_PREFIX_INDEX: bool;
 
-    /// Cost of sending a call to an upstream, in microseconds where the unit matters.
+    /// Cost of sending a call to an upstream; in microseconds where the unit
+    /// matters.
     fn cost(cfg: &RouteSettings, view: &UpstreamView) -> u64;
 }
 
-/// The fewest calls, queued or running.
+/// Prefers the upstream with the fewest calls, queued or running.
 #[derive(Debug)]
 pub struct LeastLoad;
 
@@ -39,27 +40,29 @@
     }
 }
 
-/// The longest prefix held unless its holder is crowded, and of these the fewest calls.
+/// Prefers the upstream with the longest cached prefix unless it is overloaded,
+/// and among equals the one with the fewest calls.
 #[derive(Debug)]
 pub struct LongestPrefix;
 
-/// Greater than any count of calls.
+/// Exceeds any number of calls on an upstream.
 const CALLS_LIMIT: u64 = 1 << 20;
 
-/// Calls from which on an upstream is crowded.
-const CROWDED: u64 = 40;
+/// Number of calls above which an upstream counts as overloaded.
+const OVERLOADED: u64 = 40;
 
 impl Score for LongestPrefix {
     const USES_PREFIX_INDEX: bool = true;
 
     fn cost(cfg: &RouteSettings, view: &UpstreamView) -> u64 {
         let calls = LeastLoad::cost(cfg, view);
-        let crowded = u64::from(calls > CROWDED) << 60;
-        crowded + view.uncached_tokens * CALLS_LIMIT + calls
+        let overloaded = u64::from(calls > OVERLOADED) << 60;
+        overloaded + view.uncached_tokens * CALLS_LIMIT + calls
     }
 }
 
-/// The shortest time until the answer is whole, with what the call costs others.
+/// Prefers the upstream with the shortest expected time to the complete answer,
+/// including the delay that the call causes to other calls.
 #[derive(Debug)]
 pub struct ExpectedTime;
 
@@ -74,7 +77,8 @@
             known => known,
         };
         let answer = cfg.answer_tokens * (gap + running * cfg.per_running_us);
-        // Of the calls that run, one ends about every `answer / running`.
+        // With `running` calls in progress, one ends about every `answer /
+        // running`.
         let queue = u64::from(load.queued) * answer / running.max(1);
         let weight = cfg.prefix_weight + cfg.prefix_per_running * running;
         let prefill = view.uncached_tokens * cfg.prefill_us * weight / PER_MILLE;
--- a/crates/quay_policy/src/route/settings.rs
+++ b/crates/quay_policy/src/route/settings.rs
@@ -1,57 +1,61 @@
-//! Knobs of routing.
+//! Settings of routing.
 
 use std::time::Duration;
 
-/// Knobs of routing. A weight of zero turns its part off.
+/// Settings of routing. A weight of zero disables its part.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RouteSettings {
     /// Time to prefill a prompt token, in microseconds.
     pub prefill_us: u64,
-    /// Weight of a prompt token that has to be prefilled, in thousandths.
+    /// Weight of a prompt token that must be prefilled, in thousandths.
     pub prefix_weight: u64,
-    /// Thousandths by which each running call raises that weight, since a
-    /// prefill holds all of them up.
+    /// Thousandths by which each running call raises `prefix_weight`, since a
+    /// prefill delays all running calls.
     pub prefix_per_running: u64,
-    /// Time that a running call adds to each step, in microseconds.
+    /// Time that a running call adds to each decoding step, in microseconds.
     pub per_running_us: u64,
-    /// Answer length that is expected of a call, in tokens.
+    /// Expected length of an answer, in tokens.
     pub answer_tokens: u64,
-    /// Time between tokens that is assumed where none is known, in microseconds.
+    /// Assumed time between tokens where none is known, in microseconds.
     pub token_gap_us: u64,
-    /// Whether load is corrected by what was sent and ended since its report.
+    /// Whether the load is corrected for calls sent and ended since the last
+    /// report.
     pub correct_load: bool,
-    /// Upstreams whose cost is at most this much above the best are equally good.
+    /// Upstreams whose cost exceeds the lowest by at most this much are equally
+    /// good.
     pub spread: Duration,
-    /// Trust in the home of a program whose blocks the book does not know, in
-    /// thousandths of a prefix that is known.
+    /// Weight of a program's home upstream when the prefix index has no entry
+    /// for the program's blocks, in thousandths of a known prefix.
     pub home_weight: u64,
-    /// Cost of another data centre.
+    /// Additional cost of an upstream in another data centre.
     pub remote_cost: Duration,
-    /// Age at which a load report is taken with care.
+    /// Age above which a load report counts as stale.
     pub stale_after: Duration,
-    /// Age at which an upstream is used only if there is no other.
+    /// Time without announcements after which an upstream is used only as a
+    /// last resort.
     pub silent_after: Duration,
-    /// Cost of a stale or unknown load report.
+    /// Additional cost of an upstream whose load report is stale or missing.
     pub stale_cost: Duration,
-    /// Fill of KV memory, in thousandths, from which on a call is expected to wait.
+    /// Use of KV memory, in thousandths, from which a call is expected to wait.
     pub kv_full_permille: u16,
-    /// Cost of full KV memory.
+    /// Additional cost of an upstream whose KV memory is full.
     pub kv_full_cost: Duration,
-    /// Blocks that the cache book remembers.
+    /// Maximum number of blocks in the prefix index.
     pub max_index_blocks: usize,
-    /// Number of conversations whose last upstream is remembered.
+    /// Maximum number of conversations whose latest upstream is recorded.
     pub max_conversations: usize,
-    /// Time of a call, in thousandths of what peers take, from which on an
-    /// upstream is slow: more than a full engine takes against an idle one.
+    /// Call duration, in thousandths of the peers' duration, from which an
+    /// upstream counts as slow: more than a fully loaded engine takes compared
+    /// with an idle one.
     pub slow_threshold: u64,
-    /// Rate of failed calls, in thousandths, from which on an upstream fails:
-    /// two calls in a row do it, a single one does not.
+    /// Rate of failed calls, in thousandths, from which an upstream counts as
+    /// failing: reached by two failures in a row, not by a single one.
     pub failing_threshold: u64,
-    /// Calls that a failed one counts as: a program that loses one is late or
-    /// fails, with all its other calls.
+    /// Number of calls that a failed call counts as: a program that loses one
+    /// call is late or fails, together with all its other calls.
     pub failure_weight: u64,
-    /// Time after which one call tries a slow or failing upstream again: as long
-    /// as a caller waits for one.
+    /// Time after which one call probes a slow or failing upstream: as long as
+    /// a caller waits for a call.
     pub probe_interval: Duration,
 }
 
@@ -74,7 +78,7 @@
             kv_full_permille: 900,
             kv_full_cost: Duration::from_secs(2),
             max_index_blocks: 65_536,
-            // Some minutes of the programs of one entry; 300 kB.
+            // A few minutes of the programs of one entry; 300 kB.
             max_conversations: 8_192,
             slow_threshold: 1_800,
             failing_threshold: 200,
