--- a/crates/quay_policy/src/guard/suspects.rs
+++ b/crates/quay_policy/src/guard/suspects.rs
@@ -28,7 +28,7 @@
     /// Duration of a quarantine, counted from the last time the request was
     /// sent.
     pub quarantine_time: Duration,
-    /// Time after which the run of a suspect no longer blocks other suspects.
+    /// Time after which the run of a suspect no longer blocks other runs.
     pub trial_timeout: Duration,
     /// Time after which a suspect that is not resent is removed.
     pub forget_after: Duration,
--- a/crates/quay_policy/src/route/rating.rs
+++ b/crates/quay_policy/src/route/rating.rs
@@ -19,8 +19,8 @@
 /// recovered upstream is recognised after two or three calls.
 const FASTER_WEIGHT: u32 = 2;
 
-/// A call has a weight of 1 / `FAILURE_WEIGHT` in the failure rate. The value is
-/// about the number of calls in flight on one upstream.
+/// A call has a weight of 1 / `FAILURE_WEIGHT` in the failure rate. The divisor
+/// is about the number of calls in flight on one upstream.
 const FAILURE_WEIGHT: u64 = 8;
 
 /// A successful call has a weight of 1 / `PROBE_SUCCESS_WEIGHT` at an upstream
--- a/crates/quay_policy/tests/guards.rs
+++ b/crates/quay_policy/tests/guards.rs
@@ -1,4 +1,5 @@
-//! Tests of retry budgets, quota leases, retention, placement and program blocks.
+//! Tests of retry budgets, quota leases, retention, placement and program
+//! blocks.
 
 use {
     proptest::prelude::*,
@@ -167,13 +168,13 @@
             now = now + Duration::from_secs(16);
             if in_flight.len() == max_moving {
                 let order = in_flight.remove(0);
-                let at = usize::try_from(order.upstream.0).expect("small");
+                let at = usize::try_from(order.upstream.0).expect("number in range");
                 views[at].model = order.load;
                 placement.move_finished(order.upstream);
             }
         }
         for order in in_flight {
-            views[usize::try_from(order.upstream.0).expect("small")].model = order.load;
+            views[usize::try_from(order.upstream.0).expect("number in range")].model = order.load;
         }
         for (model, calls) in demand {
             let serving = views.iter().filter(|view| view.model == model).count();
--- a/crates/quay_policy/tests/routing.rs
+++ b/crates/quay_policy/tests/routing.rs
@@ -58,7 +58,9 @@
     let mut counts = indexmap::IndexMap::new();
     for entry in 0..100 {
         let choice = router(10).pick(Time::ZERO, &request(entry, &[]), entry * 7_919);
-        *counts.entry(choice.expect("choice").upstream).or_insert(0) += 1;
+        *counts
+            .entry(choice.expect("an eligible upstream").upstream)
+            .or_insert(0) += 1;
     }
     assert!(counts.len() >= 8, "{counts:?}");
     assert!(counts.values().all(|count| *count < 30), "{counts:?}");
@@ -70,7 +72,9 @@
     let mut counts = indexmap::IndexMap::new();
     for call in 0..100 {
         let choice = router.pick(Time::ZERO, &request(call, &[]), call);
-        *counts.entry(choice.expect("choice").upstream).or_insert(0) += 1;
+        *counts
+            .entry(choice.expect("an eligible upstream").upstream)
+            .or_insert(0) += 1;
     }
     assert!(
         counts.values().all(|count| (5..=15).contains(count)),
@@ -84,7 +88,7 @@
     let blocks: Vec<u64> = (1..200).collect();
     let first = router
         .pick(Time::ZERO, &request(1, &blocks), 3)
-        .expect("choice");
+        .expect("an eligible upstream");
     // The reports show that the first call has ended, so that its prefill does
     // not delay the second call.
     for number in 0..10 {
@@ -95,7 +99,7 @@
     }
     let again = router
         .pick(Time::from_millis(5), &request(1, &blocks), 8)
-        .expect("choice");
+        .expect("an eligible upstream");
     assert_eq!(first.upstream, again.upstream);
     assert!(again.cached_blocks > 180, "{}", again.cached_blocks);
     let overloaded = Load {
@@ -110,7 +114,10 @@
         }
     }
     let other = router.pick(Time::from_millis(10), &request(1, &blocks), 0);
-    assert_ne!(other.expect("choice").upstream, first.upstream);
+    assert_ne!(
+        other.expect("an eligible upstream").upstream,
+        first.upstream
+    );
 }
 
 #[test]
@@ -125,7 +132,7 @@
         .map(|entry| {
             router(10)
                 .pick(Time::ZERO, &started, entry)
-                .expect("choice")
+                .expect("an eligible upstream")
         })
         .collect();
     assert!(
@@ -148,7 +155,7 @@
     for draw in 0..4 {
         let choice = router
             .pick(later, &request(draw, &[]), draw)
-            .expect("choice");
+            .expect("an eligible upstream");
         assert_eq!(choice.upstream, upstream(0));
     }
     let tried = [upstream(0)];
@@ -157,7 +164,10 @@
         ..request(9, &[])
     };
     assert_eq!(
-        router.pick(later, &rest, 0).expect("last resort").upstream,
+        router
+            .pick(later, &rest, 0)
+            .expect("the silent upstream as a last resort")
+            .upstream,
         upstream(1)
     );
 }
@@ -197,7 +207,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    /// The index stays within its bound, and never claims more than was sent.
+    /// The index stays within its bound and never reports a deeper prefix for
+    /// an upstream than was sent to it.
     #[test]
     fn the_index_is_bounded_and_holds_only_blocks_that_were_sent(
         max in 1_usize..400,
@@ -216,7 +227,7 @@
             prop_assert!(index.len() <= max);
             index.lookup(&blocks(prompt, 300), &mut depths, 20);
             for (slot, depth) in depths.iter().enumerate() {
-                let slot = u16::try_from(slot).expect("small");
+                let slot = u16::try_from(slot).expect("number in range");
                 let most = sent.get(&(slot, prompt)).copied().unwrap_or(0);
                 prop_assert!(*depth as usize <= most);
             }
@@ -257,15 +268,18 @@
     router
 }
 
-/// Router that has sent a call of conversation 5 to the returned upstream, which
-/// then reports one running call while the other upstreams report none.
+/// Router that has sent a call of conversation 5 to the returned upstream. That
+/// upstream then reports one running call, the other upstreams report none.
 fn router_with_a_conversation() -> (Router<ExpectedTime>, UpstreamId) {
     let mut router = gateway_router();
     let first = RouteRequest {
         conversations: &[5],
         ..request(1, &LONG_PROMPT[..250])
     };
-    let last_upstream = router.pick(Time::ZERO, &first, 3).expect("choice").upstream;
+    let last_upstream = router
+        .pick(Time::ZERO, &first, 3)
+        .expect("an eligible upstream")
+        .upstream;
     for number in 0..10 {
         let running = u32::from(upstream(number) == last_upstream);
         let load = Load {
@@ -290,7 +304,10 @@
                 ..request(root, &LONG_PROMPT[..300])
             };
             let choice = router.pick(Time::from_millis(6), &next, root);
-            assert_eq!(choice.expect("choice").upstream, last_upstream);
+            assert_eq!(
+                choice.expect("an eligible upstream").upstream,
+                last_upstream
+            );
         }
     }
 }
@@ -305,7 +322,7 @@
     };
     let again = Announcement {
         incarnation: Incarnation(2),
-        ..announcement(number.expect("known"), 1, load)
+        ..announcement(number.expect("an upstream of the router"), 1, load)
     };
     router.apply_announcement(Time::from_millis(6), &again);
     let next = RouteRequest {
@@ -313,7 +330,10 @@
         ..request(1, &LONG_PROMPT[..300])
     };
     let choice = router.pick(Time::from_millis(6), &next, 0);
-    assert_ne!(choice.expect("choice").upstream, last_upstream);
+    assert_ne!(
+        choice.expect("an eligible upstream").upstream,
+        last_upstream
+    );
 }
 
 /// Guards against repeated prefills in a burst: ten upstreams serve 120
@@ -341,15 +361,15 @@
         };
         let choice = router
             .pick(now, &req, step * 7_919)
-            .expect("choice")
+            .expect("an eligible upstream")
             .upstream;
-        let place = usize::try_from(conversation).expect("small");
-        calls += u32::from(last[place].is_some());
-        moved += u32::from(last[place].is_some_and(|it| it != choice));
-        last[place] = Some(choice);
+        let at = usize::try_from(conversation).expect("number in range");
+        calls += u32::from(last[at].is_some());
+        moved += u32::from(last[at].is_some_and(|it| it != choice));
+        last[at] = Some(choice);
         // Of the 120 conversations, 100 have a call in flight at a time.
         if step >= 100 {
-            let ended = usize::try_from((step - 100) % 120).expect("small");
+            let ended = usize::try_from((step - 100) % 120).expect("number in range");
             if let Some(id) = last[ended] {
                 router.record_end(now, id);
             }
@@ -361,7 +381,7 @@
 // ---------------------------------------------------------------------------
 // Slow and failing upstreams
 
-/// Simulation of a caller that sends calls to ten upstreams at a fixed interval.
+/// Simulates a caller that sends calls to ten upstreams at a fixed interval.
 struct Simulation {
     router: Router<ExpectedTime>,
     now: Time,
@@ -403,10 +423,10 @@
             let choice = self
                 .router
                 .pick(self.now, &request(call, &[]), call * 7_919);
-            let choice = choice.expect("choice").upstream;
+            let choice = choice.expect("an eligible upstream").upstream;
             let number = (0..10).find(|number| upstream(*number) == choice);
-            let number = number.expect("known");
-            self.sent[usize::try_from(number).expect("small")] += 1;
+            let number = number.expect("an upstream of the router");
+            self.sent[usize::try_from(number).expect("number in range")] += 1;
             let took = HEALTHY_DURATION * slowdown(number) * (20 + self.running(number)) / 20;
             self.in_flight.push((self.now + took, number, took));
         }
@@ -414,7 +434,7 @@
 
     fn running(&self, number: u64) -> u32 {
         let running = self.in_flight.iter().filter(|it| it.1 == number).count();
-        u32::try_from(running).expect("small")
+        u32::try_from(running).expect("number in range")
     }
 
     /// Reports the load of every upstream.
@@ -455,7 +475,7 @@
 /// Maximum number of probes of two upstreams in `span`, one at a time for each.
 fn max_probes(span: Duration) -> u32 {
     let interval = RouteSettings::default().probe_interval;
-    2 * u32::try_from(span.as_millis() / interval.as_millis() + 1).expect("small")
+    2 * u32::try_from(span.as_millis() / interval.as_millis() + 1).expect("number in range")
 }
 
 /// Two of ten upstreams become slow: calls must not wait there while other
--- a/crates/quay_policy/tests/suspects.rs
+++ b/crates/quay_policy/tests/suspects.rs
@@ -150,7 +150,7 @@
         let rounds = (0..40).flat_map(|round| (0..REQUESTS).map(move |request| (request, round % 4)));
         for ((request, upstream), step) in choices.into_iter().chain(rounds).zip(0..) {
             let now = Time::from_millis(step);
-            let at = usize::try_from(upstream).expect("small");
+            let at = usize::try_from(upstream).expect("number in range");
             let already_running = upstreams.iter().any(|(running, _)| running.contains(&request));
             if !already_running && !upstreams[at].1 {
                 let clearance = request_clearance(&mut suspects, now, request, upstream);
@@ -172,7 +172,7 @@
             // On every third step one upstream finishes its running requests, or
             // crashes if one of them is poison.
             if step % 3 == 0 {
-                let ending = usize::try_from(step / 3 % 4).expect("small");
+                let ending = usize::try_from(step / 3 % 4).expect("number in range");
                 let (running, _) = std::mem::take(&mut upstreams[ending]);
                 let poison: Vec<usize> = running.iter().copied().filter(|id| *id < POISON).collect();
                 if poison.is_empty() {
