--- a/crates/quay_members/src/lib.rs
+++ b/crates/quay_members/src/lib.rs
@@ -5,7 +5,7 @@
 //! crate does no I/O and reads no clock, and random numbers are passed in.
 //!
 //! ```
-//! use quay_members::{Directory, MembersSettings, DirectoryView};
+//! use quay_members::{Directory, DirectoryView, MembersSettings};
 //! use quay_types::Time;
 //!
 //! let mut directory = Directory::new(Time::ZERO, 1, MembersSettings::default());
