--- a/crates/quay_routes/src/dialect.rs
+++ b/crates/quay_routes/src/dialect.rs
@@ -30,20 +30,20 @@
     ///
     /// Returns [`TableError::Unreadable`] with the reason if the document can't
     /// be parsed.
-    fn table(&self, document: &[u8]) -> Result<RoutingTable, TableError>;
+    fn parse_table(&self, document: &[u8]) -> Result<RoutingTable, TableError>;
 
     /// Parses the head of a caller's request.
     ///
     /// # Errors
     ///
     /// Names the part of the head that is missing or can't be parsed.
-    fn call(&self, head: &request::Parts) -> Result<CallHead, HeadError>;
+    fn parse_request(&self, head: &request::Parts) -> Result<CallHead, HeadError>;
 
     /// Headers of a request that is forwarded to an upstream.
-    fn forward(&self, headers: &HeaderMap, with: &Forwarding<'_>) -> HeaderMap;
+    fn forwarded_headers(&self, headers: &HeaderMap, with: &Forwarding<'_>) -> HeaderMap;
 
     /// Parses the head of an upstream's response.
-    fn answer(&self, head: &response::Parts) -> UpstreamHead;
+    fn parse_response(&self, head: &response::Parts) -> UpstreamHead;
 
     /// Headers of an upstream's response that is passed on to the caller.
     fn response_headers(&self, headers: &HeaderMap) -> HeaderMap;
@@ -59,7 +59,7 @@
     /// # Errors
     ///
     /// Returns the reason if the call is unknown or its body is invalid.
-    fn operator_call(&self, req: &Request<&[u8]>) -> Result<OperatorCall, OperatorError>;
+    fn parse_operator_call(&self, req: &Request<&[u8]>) -> Result<OperatorCall, OperatorError>;
 
     /// Formats the response to an administrative call.
     fn operator_response(&self, answer: &OperatorResponse) -> Response<Box<[u8]>>;
--- a/crates/sapphirequayd/src/gateway/control/api.rs
+++ b/crates/sapphirequayd/src/gateway/control/api.rs
@@ -41,7 +41,7 @@
     };
     let path: Box<str> = head.uri.path().into();
     let whole = Request::from_parts(head, &body[..]);
-    let answer = match host.dialect.operator_call(&whole) {
+    let answer = match host.dialect.parse_operator_call(&whole) {
         Ok(call) => carry_out(host, call, &body).await,
         Err(OperatorError::NoSuchCall) => return status(StatusCode::NOT_FOUND),
         Err(fault) => {
@@ -111,7 +111,9 @@
 
 /// Reads and checks a table.
 fn table_text(dialect: &impl Dialect, document: &Bytes) -> Result<TableText, Box<str>> {
-    let table = dialect.table(document).map_err(|fault| fault.to_string())?;
+    let table = dialect
+        .parse_table(document)
+        .map_err(|fault| fault.to_string())?;
     table.check().map_err(|fault| fault.to_string())?;
     Ok(TableText {
         revision: table.revision,
--- a/crates/sapphirequayd/src/gateway/front/call.rs
+++ b/crates/sapphirequayd/src/gateway/front/call.rs
@@ -149,7 +149,7 @@
 pub async fn answer<D: Dialect>(front: FrontHost<D>, req: Request<Incoming>) -> Response<Body> {
     let arrived = front.now();
     let (parts, body) = req.into_parts();
-    let head = match front.dialect().call(&parts) {
+    let head = match front.dialect().parse_request(&parts) {
         Ok(head) => head,
         Err(fault) => {
             log::info!("event=call_refused cause=\"{fault}\" uri={}", parts.uri);
@@ -515,7 +515,7 @@
         let headers = self
             .front
             .dialect()
-            .forward(&self.parts.headers, &forwarding);
+            .forwarded_headers(&self.parts.headers, &forwarding);
         let mut req = Request::new(Full::new(body.clone()));
         *req.method_mut() = self.parts.method.clone();
         *req.uri_mut() = self.parts.uri.clone();
@@ -531,7 +531,7 @@
         incoming: Incoming,
         limit: Duration,
     ) -> Tried<D> {
-        let answer = self.front.dialect().answer(&head);
+        let answer = self.front.dialect().parse_response(&head);
         let now = self.front.now();
         let not_run = answer.execution != Execution::Possible;
         if answer.execution == Execution::Misdirected {
--- a/crates/sapphirequayd/src/gateway/front/host.rs
+++ b/crates/sapphirequayd/src/gateway/front/host.rs
@@ -280,7 +280,7 @@
     }
 
     fn learn_table(&self, document: &[u8]) {
-        let table = match self.dialect().table(document) {
+        let table = match self.dialect().parse_table(document) {
             Ok(table) => table,
             Err(fault) => {
                 log::error!("event=table_unreadable cause=\"{fault}\"");
