--- a/crates/quay_config/src/audit.rs
+++ b/crates/quay_config/src/audit.rs
@@ -1,4 +1,4 @@
-//! The audit trail: what was asked, by whom, and what came of it.
+//! The audit trail: who requested which change, and the outcome.
 
 use {
     crate::{ChangeId, Refusal},
@@ -7,57 +7,58 @@
     std::collections::VecDeque,
 };
 
-/// Records that a replica keeps; older ones are dropped, oldest first.
+/// Maximum number of records that a replica keeps; the oldest are evicted
+/// first.
 pub const MAX_AUDIT_RECORDS: usize = 20_000;
 
-/// Longest text in a record, in bytes.
+/// Maximum length of a text field of a record, in bytes.
 const MAX_FIELD_BYTES: usize = 512;
 
-/// One attempt to change something.
+/// One attempted change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditRecord {
-    /// Counts from 1 without a gap.
+    /// Sequence number; starts at 1 and has no gaps.
     pub sequence: u64,
-    /// Logged time, in milliseconds since the Unix epoch; never falls.
+    /// Logged time, in milliseconds since the Unix epoch; never decreases.
     pub time_ms: u64,
-    /// Who asked, as their certificate names them.
+    /// Author of the request, as named by the author's certificate.
     pub author: Box<str>,
-    /// Identity of the request across resends.
+    /// Id of the request, the same in every resend.
     pub id: ChangeId,
-    /// What was asked: `change ordering`, `drain engine-3`.
+    /// The requested action, such as `change ordering` or `drain engine-3`.
     pub action: Box<str>,
-    /// Why, in the author's words.
+    /// Reason given by the author.
     pub cause: Box<str>,
-    /// Why it was refused; `None` if it was carried out.
+    /// Reason for the refusal; `None` if the request was carried out.
     pub refused: Option<Box<str>>,
-    /// Index in force afterwards.
+    /// Configuration index in force after the attempt.
     pub index: ConfigIndex,
-    /// Digest of what the action is about, before.
+    /// Digest of the affected state before the action.
     pub before: ContentDigest,
-    /// Digest of what the author asked for; in force only if not refused.
+    /// Digest of the requested state; in force only if not refused.
     pub after: ContentDigest,
-    /// Digest over this record and the `chain` of the one before it, so that a
-    /// trail which lost or changed a record shows it.
+    /// Digest over this record and the `chain` of the previous record, so that
+    /// a missing or modified record is detected.
     pub chain: ContentDigest,
 }
 
 impl AuditRecord {
-    /// The chain value that follows `previous`.
+    /// Computes the chain value of this record from that of the previous one.
     #[must_use]
     pub fn chain_after(&self, previous: ContentDigest) -> ContentDigest {
         let bare = Self {
             chain: previous,
             ..self.clone()
         };
-        // A record holds only what postcard can encode.
+        // Encoding can't fail: postcard supports all field types of a record.
         let bytes = postcard::to_stdvec(&bare).unwrap_or_default();
         ContentDigest::of(&[b"audit", &bytes])
     }
 }
 
-/// What a record says besides its place in the trail.
+/// Content of a record, without its sequence number and chain value.
 #[derive(Debug)]
-pub(crate) struct Entry<'a> {
+pub(crate) struct AuditEntry<'a> {
     pub time_ms: u64,
     pub author: &'a str,
     pub id: &'a ChangeId,
@@ -69,47 +70,48 @@
     pub after: ContentDigest,
 }
 
-/// Cuts a text to the bound of a record's fields, and keeps it on one line.
-fn clip(text: &str) -> Box<str> {
+/// Truncates a text to [`MAX_FIELD_BYTES`] and replaces control characters, so
+/// that it stays on one line.
+fn truncate_field(text: &str) -> Box<str> {
     let end = text.floor_char_boundary(MAX_FIELD_BYTES);
     text[..end].replace(char::is_control, " ").into()
 }
 
-/// An append-only trail in bounded memory.
+/// An append-only audit trail of bounded size.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditTrail {
-    /// Sequence numbers rise by one from record to record.
+    /// Records with consecutive sequence numbers, oldest first.
     records: VecDeque<AuditRecord>,
-    /// Sequence of the last record.
+    /// Sequence number of the last record.
     last: u64,
-    /// Time of the last record.
+    /// Logged time of the last record, in milliseconds since the Unix epoch.
     last_ms: u64,
-    /// Chain of the last record.
+    /// Chain value of the last record.
     chain: ContentDigest,
 }
 
 impl AuditTrail {
-    /// Sequence of the last record; 0 before the first.
+    /// Sequence number of the last record; 0 if there is none.
     #[must_use]
-    pub const fn last(&self) -> u64 {
+    pub const fn last_sequence(&self) -> u64 {
         self.last
     }
 
-    /// Time of the last record.
+    /// Logged time of the last record, in milliseconds since the Unix epoch.
     #[must_use]
-    pub const fn last_ms(&self) -> u64 {
+    pub const fn last_time_ms(&self) -> u64 {
         self.last_ms
     }
 
     /// Appends a record.
-    pub(crate) fn append(&mut self, entry: &Entry<'_>) {
+    pub(crate) fn append(&mut self, entry: &AuditEntry<'_>) {
         let mut record = AuditRecord {
             sequence: self.last + 1,
             time_ms: entry.time_ms,
-            author: clip(entry.author),
-            id: ChangeId(clip(&entry.id.0)),
-            action: clip(&entry.action),
-            cause: clip(entry.cause),
+            author: truncate_field(entry.author),
+            id: ChangeId(truncate_field(&entry.id.0)),
+            action: truncate_field(&entry.action),
+            cause: truncate_field(entry.cause),
             refused: entry.refused.map(Refusal::summary),
             index: entry.index,
             before: entry.before,
@@ -117,7 +119,7 @@
             chain: ContentDigest::default(),
         };
         record.chain = record.chain_after(self.chain);
-        assert!(record.time_ms >= self.last_ms, "logged time fell");
+        assert!(record.time_ms >= self.last_ms, "logged time decreased");
         self.last = record.sequence;
         self.last_ms = record.time_ms;
         self.chain = record.chain;
@@ -127,7 +129,7 @@
         self.records.push_back(record);
     }
 
-    /// Up to `limit` records after a sequence number, oldest first.
+    /// Returns up to `limit` records after a sequence number, oldest first.
     #[must_use]
     pub fn after(&self, sequence: u64, limit: usize) -> Box<[AuditRecord]> {
         self.records
--- a/crates/quay_config/src/command.rs
+++ b/crates/quay_config/src/command.rs
@@ -1,4 +1,4 @@
-//! What the control group is asked, and its answers.
+//! Commands and queries to the control group, and their replies.
 
 use {
     crate::{AuditRecord, Image, Poll, Refusal, Update},
@@ -7,7 +7,8 @@
     std::fmt,
 };
 
-/// Identity of a request across resends, chosen by its author.
+/// Id of a request, chosen by its author and the same in every resend, which
+/// makes resends idempotent.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ChangeId(pub Box<str>);
 
@@ -17,45 +18,46 @@
     }
 }
 
-/// What a change was made from.
+/// Version and digest of a section; a change names the revision it is based on.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SectionRevision {
-    /// Version of the section; 0 if it did not exist.
+    /// Version of the section; 0 if the section does not exist.
     pub version: u64,
-    /// Digest of the section's text; zero if it did not exist.
+    /// Digest of the section's text; zero if the section does not exist.
     pub digest: ContentDigest,
 }
 
-/// Who a request comes from, as their certificate says.
+/// Role of a request's author, as stated in the certificate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Origin {
     /// An operator.
     Operator,
-    /// One of the system's own processes.
+    /// A process of the system itself.
     Process,
 }
 
-/// What is to be done.
+/// The requested action.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Action {
-    /// Set the first document of a new group.
+    /// Sets the first document of a new group.
     Bootstrap(Box<str>),
-    /// Give a section a new text.
+    /// Replaces or creates a section.
     Change {
         /// Name of the section.
         section: Box<str>,
-        /// What the new text was made from.
+        /// Revision that the new text is based on.
         base: SectionRevision,
-        /// The new text.
+        /// New text of the section.
         text: Box<str>,
     },
-    /// Mark an upstream to leave.
+    /// Marks an upstream as draining.
     Drain(Box<str>),
-    /// Take the mark away.
+    /// Removes the drain mark of an upstream.
     Undrain(Box<str>),
-    /// Do not run content until the given time in milliseconds.
+    /// Quarantines content until the given time, in milliseconds since the Unix
+    /// epoch.
     Quarantine(ContentDigest, u64),
-    /// Run content again; `None` clears the whole list.
+    /// Ends the quarantine of content; `None` clears the entire list.
     ClearQuarantine(Option<ContentDigest>),
 }
 
@@ -73,80 +75,83 @@
     }
 }
 
-/// A request to change something: the control group's command.
+/// A request to change the configuration: the command of the replicated state
+/// machine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigCommand {
-    /// Identity across resends.
+    /// Id of the request, the same in every resend.
     pub id: ChangeId,
-    /// Who asks.
+    /// Author of the request.
     pub author: Box<str>,
-    /// Their role.
+    /// Role of the author.
     pub origin: Origin,
-    /// Why, in their words.
+    /// Reason given by the author.
     pub cause: Box<str>,
-    /// Time that the leader read, in milliseconds since the Unix epoch.
+    /// Clock of the leader, in milliseconds since the Unix epoch.
     pub time_ms: u64,
-    /// What is to be done.
+    /// The requested action.
     pub action: Action,
 }
 
-/// A request that was carried out.
+/// Result of a request that was carried out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Accepted {
-    /// Index in force since then.
+    /// Configuration index after the request.
     pub index: ConfigIndex,
-    /// Version of the section; 0 for other requests.
+    /// New version of the section; 1 for the first document, 0 if no section was
+    /// changed.
     pub version: u64,
-    /// Digest of what the request was about.
+    /// Digest of the state that the request set.
     pub digest: ContentDigest,
 }
 
 /// Answer to a [`ConfigCommand`].
 pub type ConfigReply = Result<Accepted, Refusal>;
 
-/// Asks without changing anything.
+/// A read-only request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConfigQuery {
-    /// What a subscriber misses.
+    /// Asks for the changes that a subscriber lacks.
     Poll(Poll),
-    /// Whether an order would be carried out; leaves no trace.
+    /// Asks whether a command would be carried out, without recording it.
     DryRun(Box<ConfigCommand>),
-    /// Everything in force.
+    /// Asks for the complete state in force.
     Image,
-    /// Records of the audit trail after a sequence number.
+    /// Asks for the records of the audit trail after a sequence number.
     Audit {
-        /// The sequence number.
+        /// Sequence number before the first returned record.
         after: u64,
-        /// Most records in the answer.
+        /// Maximum number of records in the answer.
         limit: u32,
     },
-    /// The sections' versions and the index.
+    /// Asks for the index and the revisions of the sections.
     Status,
 }
 
-/// One section in short.
+/// Summary of a section.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SectionSummary {
     /// Name of the section.
     pub name: Box<str>,
-    /// Its version and digest.
+    /// Version and digest of the section.
     pub revision: SectionRevision,
-    /// Who set it.
+    /// Author of the version in force; empty if it is from the first document.
     pub author: Box<str>,
-    /// When it was set, in milliseconds since the Unix epoch.
+    /// Time at which the version was set, in milliseconds since the Unix epoch;
+    /// 0 if it is from the first document.
     pub time_ms: u64,
-    /// Who may change it.
+    /// Authors that may change the section.
     pub owners: Box<[Box<str>]>,
 }
 
-/// State of the store in short.
+/// Summary of the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreStatus {
-    /// Index in force.
+    /// Configuration index in force.
     pub index: ConfigIndex,
-    /// The sections.
+    /// Summaries of the sections.
     pub sections: Box<[SectionSummary]>,
-    /// Sequence of the last audit record.
+    /// Sequence number of the last audit record.
     pub audit: u64,
 }
 
--- a/crates/quay_config/src/config.rs
+++ b/crates/quay_config/src/config.rs
@@ -1,4 +1,4 @@
-//! The checked configuration as the rest of the system uses it.
+//! The validated configuration, as used by the rest of the system.
 
 use {
     indexmap::IndexMap,
@@ -14,13 +14,13 @@
 pub struct KeyDigest([u8; 32]);
 
 impl KeyDigest {
-    /// Digests a bearer key.
+    /// Computes the digest of a bearer key.
     #[must_use]
     pub fn of(key: &str) -> Self {
         Self(Sha256::digest(key.as_bytes()).into())
     }
 
-    /// Reads 64 hexadecimal digits.
+    /// Parses 64 lower-case hexadecimal digits.
     #[must_use]
     pub fn from_hex(text: &str) -> Option<Self> {
         let digits = text.as_bytes();
@@ -34,15 +34,15 @@
         Some(Self(bytes))
     }
 
-    /// The first eight bytes, by which digests are looked up.
+    /// The first eight bytes, which serve as the key of the lookup table.
     #[must_use]
     pub fn lookup_prefix(&self) -> u64 {
-        let mut slot = [0; 8];
-        slot.copy_from_slice(&self.0[..8]);
-        u64::from_be_bytes(slot)
+        let mut prefix = [0; 8];
+        prefix.copy_from_slice(&self.0[..8]);
+        u64::from_be_bytes(prefix)
     }
 
-    /// Compares in a time that does not depend on where the digests differ.
+    /// Compares two digests in constant time.
     #[must_use]
     pub fn matches(&self, other: &Self) -> bool {
         self.0.ct_eq(&other.0).into()
@@ -67,46 +67,46 @@
 /// A model that may be called.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Model {
-    /// Its name.
+    /// Name of the model.
     pub name: Box<str>,
-    /// Longest prompt and answer together, in tokens.
+    /// Maximum length of prompt and answer together, in tokens.
     pub context_tokens: u64,
-    /// Version that upstreams are to load, if it matters.
+    /// Version that upstreams must load; `None` allows any.
     pub version: Option<Box<str>>,
 }
 
-/// An account of callers.
+/// A client account.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Account {
-    /// Its name.
+    /// Name of the account.
     pub name: Box<str>,
-    /// Section that it stands in.
+    /// Section that defines the account.
     pub section: Box<str>,
-    /// Share under contention, relative to other accounts; never 0.
+    /// Relative share of the capacity under contention; never 0.
     pub weight: u32,
-    /// Requests a second; `None` sets no limit.
+    /// Maximum number of requests per second; `None` sets no limit.
     pub requests_per_s: Option<u32>,
-    /// Calls at a time; `None` sets no limit.
+    /// Maximum number of concurrent calls; `None` sets no limit.
     pub concurrent: Option<u32>,
-    /// Models that it may call; empty allows all.
+    /// Models that the account may call; empty allows all.
     pub models: Box<[ModelId]>,
-    /// Bounds of its programs.
+    /// Limits of the account's programs.
     pub limits: ProgramLimits,
 }
 
-/// A plain service.
+/// A service without a model.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: Box<str>,
-    /// Paths whose calls may not be repeated; `*` stands for all.
+    /// Paths whose calls must not be repeated; `*` matches all paths.
     pub not_repeatable: Box<[Box<str>]>,
-    /// Longest wait for its answer.
+    /// Time-out for an answer of the service.
     pub timeout: Duration,
 }
 
 impl Service {
-    /// Whether a call of `path` may be repeated.
+    /// Whether a call to `path` may be repeated.
     #[must_use]
     pub fn repeatable(&self, path: &str) -> bool {
         !self
@@ -119,44 +119,44 @@
 /// A class of upstreams.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UpstreamClass {
-    /// Whether its upstreams refuse orders with an old fence number.
+    /// Whether the upstreams reject orders with an old fence number.
     pub checks_fence: bool,
-    /// Models that belong on it.
+    /// Models that these upstreams serve.
     pub models: Box<[ModelId]>,
 }
 
-/// When content that crashes upstreams is refused.
+/// When content that crashes upstreams is quarantined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QuarantineRules {
-    /// Crashes after which content is quarantined.
+    /// Number of crashes after which content is quarantined.
     pub crashes: u32,
-    /// How long it stays so.
+    /// Duration of the quarantine.
     pub duration: Duration,
 }
 
-/// A document that passed every check.
+/// A validated configuration document.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Config {
     /// Authors that may change each section.
     pub owners: IndexMap<Box<str>, Box<[Box<str>]>>,
-    /// How long work under an older index is still taken.
+    /// Time for which work under an older index is still accepted.
     pub grace: Duration,
-    /// Models by key.
+    /// Models by id.
     pub models: IndexMap<ModelId, Model>,
-    /// Classes of upstreams by name.
+    /// Upstream classes by name.
     pub upstreams: IndexMap<Box<str>, UpstreamClass>,
-    /// Quarantine.
+    /// Rules of the quarantine.
     pub quarantine: QuarantineRules,
-    /// Accounts by key.
+    /// Accounts by id.
     pub accounts: IndexMap<AccountId, Account>,
-    /// Key digests by [`KeyDigest::lookup_prefix`]; each slot occurs once.
+    /// Key digests by [`KeyDigest::lookup_prefix`]; each prefix occurs once.
     pub(crate) keys: IndexMap<u64, (KeyDigest, AccountId)>,
-    /// Plain services by key.
+    /// Services by id.
     pub services: IndexMap<ServiceId, Service>,
 }
 
 impl Config {
-    /// The account of a bearer key.
+    /// Finds the account of a bearer key; `None` if the key is unknown.
     #[must_use]
     pub fn account_of(&self, bearer: &str) -> Option<AccountId> {
         let digest = KeyDigest::of(bearer);
--- a/crates/quay_config/src/document.rs
+++ b/crates/quay_config/src/document.rs
@@ -1,108 +1,108 @@
-//! The document as text, cut into sections.
+//! The configuration document as text, split into sections.
 
 use {
-    crate::error::{ConfigError, Place, header},
+    crate::error::{ConfigError, SectionSource, header},
     indexmap::IndexMap,
     quay_types::ContentDigest,
 };
 
-/// Section that names the owners of every section.
+/// Name of the section that lists the owners of every section.
 pub const PLATFORM_SECTION: &str = "platform";
 
-/// Largest document that is accepted, in bytes.
+/// Maximum size of a document, in bytes.
 pub const MAX_DOCUMENT_BYTES: usize = 4 << 20;
 
-/// A document cut into the texts of its sections.
+/// A document split into the texts of its sections.
 ///
-/// A section's text holds its own tables only, with their full names, so that
-/// the document is the sections one after the other.
+/// The text of a section holds only the section's own tables, with their full
+/// names, so that the concatenated sections are the document.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Document {
-    sections: IndexMap<Box<str>, Piece>,
+    sections: IndexMap<Box<str>, SectionText>,
 }
 
-/// The text of one section.
+/// Text and position of one section.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Piece {
+struct SectionText {
     text: Box<str>,
-    /// Lines before the section in the text that it was cut from.
+    /// Number of lines before the section in the original document.
     lines_before: u32,
 }
 
 impl Document {
-    /// Cuts a whole document into sections.
+    /// Parses a document and splits it into sections.
     ///
     /// # Errors
     ///
-    /// The first fault: text that is no TOML, a key outside of any section, or
-    /// a section whose tables are not side by side.
+    /// The first error: invalid TOML, a document over the size limit, a key
+    /// outside of any section, or a section whose tables are not adjacent.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
-        let whole = Place {
+        let source = SectionSource {
             section: "document",
             text,
             lines_before: 0,
         };
         if text.len() > MAX_DOCUMENT_BYTES {
-            return Err(whole.fault_of_section(format!(
+            return Err(source.section_error(format!(
                 "the document has {} bytes; the limit is {MAX_DOCUMENT_BYTES}",
                 text.len()
             )));
         }
         let table: toml::Table = toml::from_str(text).map_err(|err| {
-            whole.fault(
+            source.error_at(
                 err.span().unwrap_or_default(),
                 err.message().trim().to_owned(),
             )
         })?;
         let document = Self {
-            sections: cut(&whole)?,
+            sections: split_sections(&source)?,
         };
-        document.prove_cut(&whole, &table)?;
+        document.verify_split(&source, &table)?;
         Ok(document)
     }
 
-    /// A document of sections that are cut already.
+    /// Creates a document from the names and texts of its sections.
     pub fn from_sections<'a>(sections: impl IntoIterator<Item = (&'a str, &'a str)>) -> Self {
-        let pieces = sections.into_iter().map(|(name, text)| {
-            let piece = Piece {
+        let sections = sections.into_iter().map(|(name, text)| {
+            let section = SectionText {
                 text: text.into(),
                 lines_before: 0,
             };
-            (name.into(), piece)
+            (name.into(), section)
         });
         Self {
-            sections: pieces.collect(),
+            sections: sections.collect(),
         }
     }
 
-    /// Replaces or adds a section.
+    /// Sets the text of a section, adding the section if it does not exist.
     pub fn set(&mut self, name: &str, text: &str) {
-        let piece = Piece {
+        let section = SectionText {
             text: text.into(),
             lines_before: 0,
         };
-        self.sections.insert(name.into(), piece);
+        self.sections.insert(name.into(), section);
     }
 
-    /// The sections in order, as name and text.
+    /// Names and texts of the sections, in order.
     pub fn sections(&self) -> impl Iterator<Item = (&str, &str)> {
         self.sections
             .iter()
-            .map(|(name, piece)| (&**name, &*piece.text))
+            .map(|(name, section)| (&**name, &*section.text))
     }
 
-    /// The text of a section.
+    /// Text of a section.
     #[must_use]
     pub fn section(&self, name: &str) -> Option<&str> {
-        self.sections.get(name).map(|piece| &*piece.text)
+        self.sections.get(name).map(|section| &*section.text)
     }
 
-    /// The sections with their places, for messages.
-    pub(crate) fn places(&self) -> impl Iterator<Item = Place<'_>> {
-        self.sections.iter().map(|(name, piece)| Place {
+    /// The sections with their positions, for error messages.
+    pub(crate) fn sources(&self) -> impl Iterator<Item = SectionSource<'_>> {
+        self.sections.iter().map(|(name, section)| SectionSource {
             section: name,
-            text: &piece.text,
-            lines_before: piece.lines_before,
+            text: &section.text,
+            lines_before: section.lines_before,
         })
     }
 
@@ -112,45 +112,51 @@
         ContentDigest::of(&[b"config section", name.as_bytes(), text.as_bytes()])
     }
 
-    /// Makes sure that the pieces mean what the whole means.
+    /// Verifies that the split sections have the same content as the document.
     ///
-    /// Cutting looks at lines; a line inside a multi-line string may look like
-    /// a table header.
-    fn prove_cut(&self, whole: &Place<'_>, table: &toml::Table) -> Result<(), ConfigError> {
+    /// The document is split by lines, and a line inside a multi-line string may
+    /// look like a table header.
+    fn verify_split(
+        &self,
+        source: &SectionSource<'_>,
+        table: &toml::Table,
+    ) -> Result<(), ConfigError> {
         let mut joined = toml::Table::new();
-        for place in self.places() {
-            let piece: toml::Table = toml::from_str(place.text)
-                .map_err(|_| place.fault_of_section("the section's tables must stand together"))?;
-            joined.extend(piece);
+        for source in self.sources() {
+            let section: toml::Table = toml::from_str(source.text)
+                .map_err(|_| source.section_error("the section's tables must stand together"))?;
+            joined.extend(section);
         }
         if joined == *table {
             Ok(())
         } else {
-            Err(whole.fault_of_section("a line inside a string looks like a table header"))
+            Err(source.section_error("a line inside a string looks like a table header"))
         }
     }
 }
 
-/// Cuts a text at the headers where the section changes.
-fn cut(whole: &Place<'_>) -> Result<IndexMap<Box<str>, Piece>, ConfigError> {
-    let mut sections: IndexMap<Box<str>, Piece> = IndexMap::new();
-    // Comments above the first header of a section belong to that section.
+/// Splits a document at the table headers where the section changes.
+fn split_sections(
+    source: &SectionSource<'_>,
+) -> Result<IndexMap<Box<str>, SectionText>, ConfigError> {
+    let mut sections: IndexMap<Box<str>, SectionText> = IndexMap::new();
+    // Comments above the first table header of a section belong to it.
     let mut pending = String::new();
     let mut current: Option<Box<str>> = None;
     let mut offset = 0;
-    for (number, line) in whole.text.split_inclusive('\n').enumerate() {
+    for (number, line) in source.text.split_inclusive('\n').enumerate() {
         let span = offset..offset + line.len();
         offset = span.end;
         let trimmed = line.trim();
         if let Some(name) = header(trimmed).map(first_key) {
             if current.as_deref() != Some(name) {
                 if sections.contains_key(name) {
-                    return Err(whole.fault(span, format!("section {name} begins twice")));
+                    return Err(source.error_at(span, format!("section {name} begins twice")));
                 }
                 let lines = pending.matches('\n').count();
                 sections.insert(
                     name.into(),
-                    Piece {
+                    SectionText {
                         text: Box::default(),
                         lines_before: u32::try_from(number - lines).unwrap_or(u32::MAX),
                     },
@@ -161,7 +167,7 @@
             pending.push_str(line);
             continue;
         } else if current.is_none() {
-            return Err(whole.fault(span, "a key must stand in a section"));
+            return Err(source.error_at(span, "a key must stand in a section"));
         }
         pending.push_str(line);
         append(&mut sections, current.as_deref(), &mut pending);
@@ -170,18 +176,22 @@
     Ok(sections)
 }
 
-/// Moves `pending` to the end of a section.
-fn append(sections: &mut IndexMap<Box<str>, Piece>, name: Option<&str>, pending: &mut String) {
-    if let Some(piece) = name.and_then(|name| sections.get_mut(name)) {
-        let text = std::mem::take(&mut piece.text);
+/// Appends `pending` to a section and clears it.
+fn append(
+    sections: &mut IndexMap<Box<str>, SectionText>,
+    name: Option<&str>,
+    pending: &mut String,
+) {
+    if let Some(section) = name.and_then(|name| sections.get_mut(name)) {
+        let text = std::mem::take(&mut section.text);
         let mut text = String::from(text);
         text.push_str(pending);
-        piece.text = text.into();
+        section.text = text.into();
         pending.clear();
     }
 }
 
-/// The first part of a dotted key, without quotes.
+/// First component of a dotted key, without quotes.
 fn first_key(name: &str) -> &str {
     let name = name.trim();
     match name.strip_prefix('"') {
--- a/crates/quay_config/src/error.rs
+++ b/crates/quay_config/src/error.rs
@@ -1,20 +1,20 @@
-//! Faults in a configuration document.
+//! Errors in a configuration document.
 
 use {
     serde::{Deserialize, Serialize},
     std::{fmt, ops::Range},
 };
 
-/// One fault of a document: where it is and what is wrong.
+/// An error in a document, with its position.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigError {
-    /// Section that the fault is in.
+    /// Section that contains the error.
     pub section: Box<str>,
-    /// Key within the document, as `section.table.key`.
+    /// Key in the document, as `section.table.key`.
     pub key: Box<str>,
-    /// Line, counted from 1 at the start of the text that was checked.
+    /// Line number in the checked document, starting at 1.
     pub line: u32,
-    /// What is wrong.
+    /// Description of the error.
     pub message: Box<str>,
 }
 
@@ -30,20 +30,20 @@
 
 impl std::error::Error for ConfigError {}
 
-/// A section's text and where it begins in the text that was checked.
+/// Text of a section and its position in the checked document.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Place<'a> {
+pub(crate) struct SectionSource<'a> {
     /// Name of the section.
     pub section: &'a str,
     /// Text of the section.
     pub text: &'a str,
-    /// Lines before the section.
+    /// Number of lines before the section.
     pub lines_before: u32,
 }
 
-impl Place<'_> {
-    /// A fault at a span of the section's text.
-    pub fn fault(&self, span: Range<usize>, message: impl Into<Box<str>>) -> ConfigError {
+impl SectionSource<'_> {
+    /// Creates an error at a byte span of the section's text.
+    pub fn error_at(&self, span: Range<usize>, message: impl Into<Box<str>>) -> ConfigError {
         let at = self.text.floor_char_boundary(span.start);
         let before = &self.text[..at];
         let line = u32::try_from(before.matches('\n').count()).unwrap_or(u32::MAX - 1);
@@ -55,9 +55,9 @@
         }
     }
 
-    /// A fault of the section as a whole.
-    pub fn fault_of_section(&self, message: impl Into<Box<str>>) -> ConfigError {
-        // Comments above the section's first header belong to it.
+    /// Creates an error for the entire section, at its first table header.
+    pub fn section_error(&self, message: impl Into<Box<str>>) -> ConfigError {
+        // Comments above the first table header belong to the section.
         let is_header = |line: &str| header(line.trim()).is_some();
         let above = self.text.lines().position(is_header).unwrap_or_default();
         let above = u32::try_from(above).unwrap_or_default();
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The key that a line sets, with the table header above it.
+    /// Full name of the key set in a line, including the table header above it.
     fn key_at(&self, line: usize) -> Box<str> {
         let mut table = self.section;
         let mut key = "";
@@ -87,7 +87,7 @@
     }
 }
 
-/// The name in a table header such as `[a.b]` or `[[a.b]]`.
+/// Name in a table header such as `[a.b]` or `[[a.b]]`; `None` for other lines.
 pub(crate) fn header(line: &str) -> Option<&str> {
     let inner = line.strip_prefix('[')?;
     let inner = inner.strip_prefix('[').unwrap_or(inner);
--- a/crates/quay_config/src/image.rs
+++ b/crates/quay_config/src/image.rs
@@ -1,4 +1,5 @@
-//! The state that daemons hold a copy of, and the steps that change it.
+//! The replicated configuration state, of which daemons hold a copy, and the
+//! steps that change it.
 
 use {
     crate::{Document, TextPatch},
@@ -8,85 +9,85 @@
     std::fmt,
 };
 
-/// One section as it is in force.
+/// A section in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SectionImage {
-    /// Rises by one with each change of the section.
+    /// Version; increases by one with each change of the section.
     pub version: u64,
     /// Digest of `text`.
     pub digest: ContentDigest,
-    /// The section's text.
+    /// Text of the section.
     pub text: Box<str>,
 }
 
-/// Marks an upstream that is to leave.
+/// Marks an upstream as draining.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DrainMark {
-    /// Who asked.
+    /// Author of the request.
     pub author: Box<str>,
     /// Logged time, in milliseconds since the Unix epoch.
     pub time_ms: u64,
 }
 
-/// Marks content that is not run.
+/// Marks quarantined content, which is not sent to upstreams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineMark {
-    /// Time from which it runs again, in milliseconds since the Unix epoch.
+    /// End of the quarantine, in milliseconds since the Unix epoch.
     pub until_ms: u64,
 }
 
-/// Everything that is in force at one index.
+/// The complete configuration state in force at one index.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Image {
-    /// Counts every step; only rises, by one at a time.
+    /// Number of steps applied so far; increases by one with each step.
     pub index: ConfigIndex,
     /// Sections by name.
     pub sections: IndexMap<Box<str>, SectionImage>,
-    /// Upstreams that are to leave, by name.
+    /// Drain marks by upstream name.
     pub drained: IndexMap<Box<str>, DrainMark>,
-    /// Content that is not run.
+    /// Quarantine marks by content digest.
     pub quarantined: IndexMap<ContentDigest, QuarantineMark>,
 }
 
-/// One step from an index to the next.
+/// A change that leads from one index to the next.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Step {
-    /// Index that the image is at afterwards.
+    /// Index of the image after the step.
     pub index: ConfigIndex,
-    /// What changes.
+    /// The change itself.
     pub change: StepChange,
 }
 
-/// What a step changes.
+/// Change made by a step.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StepChange {
-    /// A section has a new text.
+    /// Sets the text of a section.
     Section {
         /// Name of the section.
         name: Box<str>,
-        /// Its new version.
+        /// New version of the section.
         version: u64,
-        /// Digest of its new text.
+        /// Digest of the new text.
         digest: ContentDigest,
-        /// Difference from the text before.
+        /// Difference from the previous text.
         patch: TextPatch,
     },
-    /// An upstream is to leave.
+    /// Marks an upstream as draining.
     Drain(Box<str>, DrainMark),
-    /// An upstream stays after all.
+    /// Removes the drain mark of an upstream.
     Undrain(Box<str>),
-    /// Content is not run any more.
+    /// Quarantines content.
     Quarantine(ContentDigest, QuarantineMark),
-    /// Content runs again.
+    /// Ends the quarantine of content.
     ClearQuarantine(Box<[ContentDigest]>),
 }
 
-/// Why a step does not fit an image.
+/// Why a step can't be applied to an image.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StepError {
-    /// The step is not the next one.
+    /// The index of the step does not follow that of the image.
     OutOfOrder,
-    /// The section's text differs from the one that the step was made from.
+    /// The section differs from the one that the step was computed from.
     BaseMismatch,
 }
 
@@ -102,14 +103,14 @@
 impl std::error::Error for StepError {}
 
 impl Image {
-    /// The document that is in force.
+    /// The document in force.
     #[must_use]
     pub fn document(&self) -> Document {
         let sections = self.sections.iter();
         Document::from_sections(sections.map(|(name, section)| (&**name, &*section.text)))
     }
 
-    /// Digest over everything that is in force.
+    /// Digest over the names and contents of all sections and marks.
     #[must_use]
     pub fn digest(&self) -> ContentDigest {
         let mut parts = Vec::new();
@@ -132,11 +133,11 @@
         ContentDigest::of(&parts)
     }
 
-    /// Takes the next step. An error leaves the image as it was.
+    /// Applies the next step. After an error the image is unchanged.
     ///
     /// # Errors
     ///
-    /// [`StepError`] if the step was made from another image.
+    /// [`StepError`] if the step was computed from another image.
     pub fn apply(&mut self, step: &Step) -> Result<(), StepError> {
         if step.index.0 != self.index.0 + 1 {
             return Err(StepError::OutOfOrder);
@@ -162,7 +163,7 @@
         Ok(())
     }
 
-    /// Replaces a section's text.
+    /// Applies a patch to a section and verifies version and digest.
     fn set_section(
         &mut self,
         name: &str,
--- a/crates/quay_config/src/lib.rs
+++ b/crates/quay_config/src/lib.rs
@@ -1,8 +1,10 @@
-//! Configuration: one TOML document of owned sections, the machine that a
-//! control group replicates to keep it, and the subscriber in each daemon.
+//! Configuration: one TOML document of owned sections, the replicated state
+//! machine of the control group that stores it, and the subscriber in each
+//! daemon.
 //!
-//! Nothing here does I/O or reads a clock. A change names the section, version
-//! and digest that it was made from; every attempt goes to an audit trail.
+//! This crate does no I/O and reads no clock. A change names the section, and
+//! the version and digest that it is based on. Every attempt, accepted or
+//! refused, is recorded in an audit trail.
 //!
 //! ```
 //! use quay_config::{Document, check};
--- a/crates/quay_config/src/min_config_index.rs
+++ b/crates/quay_config/src/min_config_index.rs
@@ -1,79 +1,87 @@
-//! The oldest index that work is still taken under.
+//! The minimum configuration index under which work is accepted.
 
 use {
     quay_types::{ConfigIndex, Error, ErrorKind, Time},
     std::{collections::VecDeque, time::Duration},
 };
 
-/// Indexes that are remembered; within one grace there are far fewer.
-const MAX_LEARNED: usize = 1_024;
+/// Maximum number of indexes that are remembered; far fewer occur within one
+/// grace period.
+const MAX_OBSERVED: usize = 1_024;
 
-/// Refuses work that was begun under an index older than a change and its grace.
+/// Rejects work under an outdated configuration index once the grace period
+/// after a change has passed.
 ///
-/// It counts the grace on its own monotonic clock from when it learned of the
-/// change, so it never refuses early, and a host whose clock is wrong judges
-/// like every other.
+/// The grace period is measured on the local monotonic clock from when the host
+/// learned of the change. Work is therefore never rejected early, and a wrong
+/// wall clock on a host has no effect.
 #[derive(Debug)]
 pub struct MinConfigIndex {
+    /// Time for which the previous index is accepted after a change.
     grace: Duration,
-    /// Indexes and when they were learned; both rise.
-    learned: VecDeque<(ConfigIndex, Time)>,
-    /// Oldest index that is taken; only rises.
+    /// Indexes and the times at which they were observed; both increase.
+    observed: VecDeque<(ConfigIndex, Time)>,
+    /// Oldest accepted index; never decreases.
     oldest: ConfigIndex,
 }
 
 impl MinConfigIndex {
-    /// A floor that takes everything until it learns of an index.
+    /// Creates a guard that accepts every index until one is observed.
     #[must_use]
     pub const fn new(grace: Duration) -> Self {
         Self {
             grace,
-            learned: VecDeque::new(),
+            observed: VecDeque::new(),
             oldest: ConfigIndex(0),
         }
     }
 
-    /// Sets the grace that the configuration in force names.
+    /// Sets the grace period of the configuration in force.
     pub const fn set_grace(&mut self, grace: Duration) {
         self.grace = grace;
     }
 
-    /// Learns that an index is in force.
+    /// Records that an index is in force.
     pub fn observe(&mut self, now: Time, index: ConfigIndex) {
-        let newest = self.learned.back().map_or(self.oldest, |(index, _)| *index);
+        let newest = self
+            .observed
+            .back()
+            .map_or(self.oldest, |(index, _)| *index);
         if index <= newest {
             return;
         }
-        self.learned.push_back((index, now));
-        if self.learned.len() > MAX_LEARNED {
-            self.learned.pop_front();
+        self.observed.push_back((index, now));
+        if self.observed.len() > MAX_OBSERVED {
+            self.observed.pop_front();
         }
     }
 
-    /// The oldest index that work may be begun under now.
+    /// Returns the oldest index that is accepted at `now`.
     pub fn minimum(&mut self, now: Time) -> ConfigIndex {
-        while let Some((index, at)) = self.learned.front().copied() {
+        while let Some((index, at)) = self.observed.front().copied() {
             if now.since(at) < self.grace {
                 break;
             }
-            assert!(index > self.oldest, "the floor fell");
+            assert!(index > self.oldest, "the minimum index decreased");
             self.oldest = index;
-            self.learned.pop_front();
+            self.observed.pop_front();
         }
         self.oldest
     }
 
-    /// Whether work under `index` is taken.
+    /// Checks that work under `index` is accepted.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::ConfigStale`]: the work did not run.
+    /// [`ErrorKind::ConfigStale`] if the index is too old; the work did not
+    /// run.
     pub fn check(&mut self, now: Time, index: ConfigIndex) -> Result<(), Error> {
         let oldest = self.minimum(now);
         if index >= oldest {
             return Ok(());
         }
-        let message = format!("the entry acts on configuration {index}; {oldest} is needed");
+        let message =
+            format!("the request uses configuration {index}; {oldest} or newer is required");
         Err(Error::new(ErrorKind::ConfigStale, message))
     }
 }
--- a/crates/quay_config/src/patch.rs
+++ b/crates/quay_config/src/patch.rs
@@ -1,22 +1,22 @@
-//! The difference between two texts as one replaced span.
+//! The difference between two texts, as one replaced span.
 
 use serde::{Deserialize, Serialize};
 
-/// Replaces one span of a text.
+/// A patch that replaces one span of a text.
 ///
-/// A change of a few lines is a few bytes, however long the section is.
+/// The size of a patch depends on the change, not on the length of the section.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TextPatch {
-    /// Bytes kept at the start.
+    /// Number of unchanged bytes at the start.
     keep_start: u32,
-    /// Bytes kept at the end.
+    /// Number of unchanged bytes at the end.
     keep_end: u32,
-    /// What stands between them afterwards.
+    /// New text between the unchanged parts.
     insert: Box<str>,
 }
 
 impl TextPatch {
-    /// The patch that turns `old` into `new`.
+    /// Computes the patch that turns `old` into `new`.
     #[must_use]
     pub fn between(old: &str, new: &str) -> Self {
         let mut start = old
@@ -27,12 +27,12 @@
         while !(old.is_char_boundary(start) && new.is_char_boundary(start)) {
             start -= 1;
         }
-        let most = old.len().min(new.len()) - start;
+        let max_end = old.len().min(new.len()) - start;
         let mut end = old
             .bytes()
             .rev()
             .zip(new.bytes().rev())
-            .take(most)
+            .take(max_end)
             .take_while(|(a, b)| a == b)
             .count();
         while !(old.is_char_boundary(old.len() - end) && new.is_char_boundary(new.len() - end)) {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Applies the patch; `None` if it does not fit the text.
+    /// Applies the patch; `None` if the patch does not match the text.
     #[must_use]
     pub fn apply(&self, old: &str) -> Option<Box<str>> {
         let start = self.keep_start as usize;
--- a/crates/quay_config/src/refusal.rs
+++ b/crates/quay_config/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Why a request was refused.
+//! Reasons for refusing a request.
 
 use {
     crate::ConfigError,
@@ -7,29 +7,29 @@
     std::fmt::{self, Write as _},
 };
 
-/// Faults that a refusal names at most.
-const MAX_FAULTS: usize = 16;
+/// Maximum number of document errors in a refusal.
+const MAX_ERRORS: usize = 16;
 
-/// Bytes of differing lines that a refusal shows at most.
+/// Maximum size of the diff in a refusal, in bytes.
 const MAX_DIFF_BYTES: usize = 4 << 10;
 
-/// Two contents that claim the same place.
+/// A change that is based on another revision than the one in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Conflict {
-    /// Section that both are about.
+    /// Section with the conflict.
     pub section: Box<str>,
-    /// Version that the refused change was made from.
+    /// Version that the refused change is based on.
     pub base_version: u64,
-    /// Digest that the refused change was made from.
+    /// Digest that the refused change is based on.
     pub base_digest: ContentDigest,
     /// Version in force.
     pub version: u64,
     /// Digest in force.
     pub digest: ContentDigest,
-    /// Who set the version in force.
+    /// Author of the version in force.
     pub author: Box<str>,
-    /// Lines in force, marked `-`, and lines refused, marked `+`; cut off after
-    /// some kilobytes, since refusals are kept for resends.
+    /// Lines in force, marked `-`, and refused lines, marked `+`. Truncated to a
+    /// few kilobytes, because refusals are stored to answer resends.
     pub diff: Box<str>,
 }
 
@@ -50,23 +50,23 @@
     }
 }
 
-/// Why a request was refused.
+/// Reason for refusing a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Refusal {
-    /// The change was made from something else than what is in force.
+    /// The change is based on another revision than the one in force.
     Conflict(Box<Conflict>),
     /// The author does not own the section.
     NotOwner {
         /// The author.
         author: Box<str>,
-        /// The section; empty if any section would do.
+        /// The section; empty if owning any section would be sufficient.
         section: Box<str>,
     },
-    /// Only operators, or only the system's processes, may ask for this.
+    /// The action is reserved for the other role: operators or processes.
     WrongOrigin,
-    /// The document would not be valid.
+    /// The resulting document would be invalid.
     Invalid(Box<[ConfigError]>),
-    /// The id was used before for another request.
+    /// The id was already used for another request.
     IdReused,
     /// No document is in force yet.
     NoDocument,
@@ -74,20 +74,21 @@
     DocumentExists,
     /// The upstream has no drain mark.
     NotDrained(Box<str>),
-    /// The list of marks is full.
+    /// The maximum number of drain or quarantine marks is reached.
     TooManyMarks,
-    /// A name or cause is empty or too long.
+    /// A field is empty, too long or contains control characters; the name of
+    /// the field.
     Malformed(Box<str>),
 }
 
 impl Refusal {
-    /// Refuses a document; the first faults are kept.
-    pub(crate) fn invalid(mut faults: Vec<ConfigError>) -> Self {
-        faults.truncate(MAX_FAULTS);
-        Self::Invalid(faults.into())
+    /// Refuses a document with its first [`MAX_ERRORS`] errors.
+    pub(crate) fn invalid(mut errors: Vec<ConfigError>) -> Self {
+        errors.truncate(MAX_ERRORS);
+        Self::Invalid(errors.into())
     }
 
-    /// The refusal in one line, without any section's text.
+    /// The refusal in one line, without the text of any section.
     #[must_use]
     pub fn summary(&self) -> Box<str> {
         match self {
@@ -112,10 +113,10 @@
                 write!(f, "{author} does not own section {section}")
             }
             Self::WrongOrigin => f.write_str("this role may not ask for this"),
-            Self::Invalid(faults) => {
+            Self::Invalid(errors) => {
                 write!(f, "invalid: ")?;
-                let faults: Vec<_> = faults.iter().map(ToString::to_string).collect();
-                f.write_str(&faults.join("; "))
+                let errors: Vec<_> = errors.iter().map(ToString::to_string).collect();
+                f.write_str(&errors.join("; "))
             }
             Self::IdReused => f.write_str("the change id was used for another request"),
             Self::NoDocument => f.write_str("no document is in force yet"),
@@ -129,18 +130,18 @@
 
 impl std::error::Error for Refusal {}
 
-/// The lines that differ: `-` for the first text, `+` for the second.
+/// Lists the differing lines: `-` for the first text, `+` for the second.
 ///
-/// Lines that both share at the start and at the end are left out.
+/// Common lines at the start and at the end are omitted.
 #[must_use]
 pub fn line_diff(old: &str, new: &str) -> String {
     let old: Vec<&str> = old.lines().collect();
     let new: Vec<&str> = new.lines().collect();
-    let same =
+    let common =
         |pairs: &mut dyn Iterator<Item = (&&str, &&str)>| pairs.take_while(|(a, b)| a == b).count();
-    let start = same(&mut old.iter().zip(&new));
-    let most = old.len().min(new.len()) - start;
-    let end = same(&mut old.iter().rev().zip(new.iter().rev()).take(most));
+    let start = common(&mut old.iter().zip(&new));
+    let max_end = old.len().min(new.len()) - start;
+    let end = common(&mut old.iter().rev().zip(new.iter().rev()).take(max_end));
     let mut diff = String::new();
     for line in &old[start..old.len() - end] {
         let _ = writeln!(diff, "-{line}");
@@ -151,7 +152,7 @@
     diff
 }
 
-/// [`line_diff`], cut off where a refusal would grow too long.
+/// [`line_diff`], truncated to [`MAX_DIFF_BYTES`].
 pub(crate) fn bounded_diff(old: &str, new: &str) -> Box<str> {
     let mut diff = line_diff(old, new);
     if diff.len() > MAX_DIFF_BYTES {
--- a/crates/quay_config/src/schema.rs
+++ b/crates/quay_config/src/schema.rs
@@ -1,22 +1,22 @@
-//! The document's sections as they are written.
+//! Schema of the document's sections.
 
 use {indexmap::IndexMap, serde::Deserialize, toml::Spanned};
 
-/// A text with its place in the section.
+/// A string with its byte span in the section.
 pub(crate) type Text = Spanned<Box<str>>;
 
-/// The file of the platform section.
+/// TOML of the platform section, with its top-level table.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct PlatformFile {
     pub platform: PlatformSection,
 }
 
-/// What the platform team owns.
+/// Settings that the platform team owns.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct PlatformSection {
-    /// Seconds after which work under an older index is refused.
+    /// Time in seconds after which work under an older index is refused.
     pub grace_s: Option<Spanned<u32>>,
     pub owners: IndexMap<Text, Vec<Box<str>>>,
     #[serde(default)]
@@ -27,7 +27,7 @@
     pub quarantine: QuarantineTable,
 }
 
-/// A model that accounts may use.
+/// A model that accounts may call.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct ModelTable {
@@ -44,7 +44,7 @@
     pub models: Vec<Text>,
 }
 
-/// When content that crashes upstreams is refused.
+/// When content that crashes upstreams is quarantined.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct QuarantineTable {
@@ -52,7 +52,7 @@
     pub lapse_s: Option<Spanned<u32>>,
 }
 
-/// What every other team owns.
+/// Settings that every other team owns.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct TeamSection {
@@ -62,13 +62,13 @@
     pub services: IndexMap<Text, ServiceTable>,
 }
 
-/// An account of callers.
+/// A client account.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct AccountTable {
     /// SHA-256 of the bearer key, in hexadecimal.
     pub key_sha256: Text,
-    /// A second key that is accepted while callers change over.
+    /// Digest of a second key, accepted during key rotation.
     pub next_key_sha256: Option<Text>,
     pub weight: Option<Spanned<u32>>,
     pub requests_per_s: Option<Spanned<u32>>,
@@ -79,7 +79,7 @@
     pub limits: LimitsTable,
 }
 
-/// Bounds of an account's programs.
+/// Limits of an account's programs.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct LimitsTable {
@@ -90,11 +90,11 @@
     pub depth: Option<u8>,
 }
 
-/// A plain service.
+/// A service without a model.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct ServiceTable {
-    /// Paths whose calls may not be repeated; `*` stands for all.
+    /// Paths whose calls must not be repeated; `*` matches all paths.
     #[serde(default)]
     pub not_repeatable: Vec<Text>,
     pub timeout_ms: Option<Spanned<u32>>,
--- a/crates/quay_config/src/step_history.rs
+++ b/crates/quay_config/src/step_history.rs
@@ -1,4 +1,4 @@
-//! The latest steps, for subscribers that are a little behind.
+//! The latest steps, for subscribers that are only a few steps behind.
 
 use {
     crate::{Image, Step},
@@ -7,60 +7,66 @@
     std::collections::VecDeque,
 };
 
-/// Steps that are kept; a subscriber further behind takes a snapshot.
+/// Maximum number of steps that are kept; a subscriber further behind receives
+/// a snapshot.
 pub const MAX_HISTORY_STEPS: usize = 256;
 
-/// What a subscriber says of itself.
+/// Position of a subscriber, sent with a request for updates.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Poll {
-    /// Index that it holds; 0 before the first document.
+    /// Index that the subscriber holds; 0 before the first document.
     pub index: ConfigIndex,
-    /// Whether it needs everything, since a step did not fit.
+    /// Whether the subscriber needs a snapshot, because a step could not be
+    /// applied.
     pub full: bool,
 }
 
-/// What a subscriber misses.
+/// The changes that a subscriber lacks.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Update {
-    /// Nothing: this index is in force.
+    /// No changes; this index is in force.
     Current(ConfigIndex),
-    /// The steps from its index to the one in force.
+    /// The steps from the subscriber's index to the one in force.
     Steps(Box<[Step]>),
-    /// Everything in force.
+    /// The complete state in force.
     Snapshot(Box<Image>),
     /// No document is in force yet.
     Empty,
 }
 
-/// A step and the bytes that it takes on the wire.
+/// A step and its encoded size in bytes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct Kept {
+struct SizedStep {
     step: Step,
     bytes: u32,
 }
 
-/// The latest steps.
+/// A bounded history of the latest steps.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepHistory {
-    /// Indexes rise by one from step to step and end at the one in force.
-    steps: VecDeque<Kept>,
+    /// Steps with consecutive indexes, up to the index in force.
+    steps: VecDeque<SizedStep>,
 }
 
 impl StepHistory {
-    /// Adds the step that was just taken.
+    /// Appends the step that was just applied.
     pub(crate) fn push(&mut self, step: Step) {
         if let Some(last) = self.steps.back() {
-            assert_eq!(last.step.index.0 + 1, step.index.0, "the index skips");
+            assert_eq!(
+                last.step.index.0 + 1,
+                step.index.0,
+                "step indexes are not consecutive"
+            );
         }
         let bytes = encoded_bytes(&step);
-        self.steps.push_back(Kept { step, bytes });
+        self.steps.push_back(SizedStep { step, bytes });
         if self.steps.len() > MAX_HISTORY_STEPS {
             self.steps.pop_front();
         }
     }
 
-    /// What a subscriber misses of `image`: steps, or a snapshot if it is far
-    /// behind or the steps are longer.
+    /// Returns the changes that a subscriber lacks: steps, or a snapshot of
+    /// `image` if the subscriber is too far behind or the steps are larger.
     #[must_use]
     pub fn update(&self, poll: Poll, image: &Image) -> Update {
         if image.index == ConfigIndex(0) {
@@ -75,7 +81,8 @@
         }
     }
 
-    /// The steps after an index, if they are all here and not too long.
+    /// The steps after the subscriber's index; `None` if some have been evicted or
+    /// the steps are larger than a snapshot.
     fn steps_after(&self, poll: Poll, image: &Image) -> Option<Box<[Step]>> {
         let missing = image.index.0.checked_sub(poll.index.0)?;
         let missing = usize::try_from(missing).ok()?;
@@ -83,18 +90,18 @@
             return None;
         }
         let tail = || self.steps.iter().skip(self.steps.len() - missing);
-        let bytes: usize = tail().map(|kept| kept.bytes as usize).sum();
+        let bytes: usize = tail().map(|sized| sized.bytes as usize).sum();
         let snapshot: usize = image
             .sections
             .values()
             .map(|section| section.text.len())
             .sum();
-        // A few small steps are sent as they are, however small the document.
-        (bytes <= snapshot.max(1 << 10)).then(|| tail().map(|kept| kept.step.clone()).collect())
+        // Steps of up to 1 KiB in total are sent even if the document is smaller.
+        (bytes <= snapshot.max(1 << 10)).then(|| tail().map(|sized| sized.step.clone()).collect())
     }
 }
 
-/// Bytes of a step on the wire.
+/// Encoded size of a step, in bytes.
 fn encoded_bytes(step: &Step) -> u32 {
     let bytes = postcard::experimental::serialized_size(step).unwrap_or(usize::MAX);
     u32::try_from(bytes).unwrap_or(u32::MAX)
--- a/crates/quay_config/src/store.rs
+++ b/crates/quay_config/src/store.rs
@@ -1,11 +1,11 @@
-//! The machine that the control group replicates.
+//! The replicated state machine of the control group.
 
 use {
     crate::{
         Accepted, Action, AuditTrail, ChangeId, Config, ConfigAnswer, ConfigCommand, ConfigQuery,
         ConfigReply, Conflict, Document, DrainMark, Image, Origin, PLATFORM_SECTION,
         QuarantineMark, Refusal, SectionRevision, SectionSummary, Step, StepChange, StepHistory,
-        StoreStatus, TextPatch, audit::Entry, check, refusal::bounded_diff,
+        StoreStatus, TextPatch, audit::AuditEntry, check, refusal::bounded_diff,
     },
     indexmap::IndexMap,
     quay_quorum::StateMachine,
@@ -13,60 +13,62 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Answers that are kept for resends. A resend of a forgotten change is still
-/// not carried out twice: the version that it was made from has passed.
-const MAX_ANSWERS: usize = 1_024;
+/// Maximum number of replies that are cached to answer resends. A resent change
+/// whose reply was evicted is still not applied twice, because the version that
+/// it is based on is no longer in force.
+const MAX_CACHED_REPLIES: usize = 1_024;
 
-/// Drain marks at most.
+/// Maximum number of drain marks.
 const MAX_DRAINED: usize = 4_096;
 
-/// Quarantined contents at most.
+/// Maximum number of quarantine marks.
 const MAX_QUARANTINED: usize = 4_096;
 
-/// Longest id, author and upstream name, in bytes.
+/// Maximum length of an id, author or name, in bytes.
 const MAX_NAME_BYTES: usize = 128;
 
-/// Longest cause, in bytes.
+/// Maximum length of a cause, in bytes.
 const MAX_CAUSE_BYTES: usize = 512;
 
-/// Most records in one answer.
+/// Maximum number of audit records in one answer.
 const MAX_AUDIT_PAGE: usize = 1_000;
 
-/// Who set a section, and when.
+/// Author and time of a section's version in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct Origination {
+struct Authorship {
     author: Box<str>,
     time_ms: u64,
 }
 
-/// The first answer to a request.
+/// Cached reply to a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct Answered {
-    /// Digest of author and action, so that an id is not used for two requests.
+struct CachedReply {
+    /// Digest of author and action, to detect an id that is reused for another
+    /// request.
     request: ContentDigest,
     reply: ConfigReply,
 }
 
-/// Everything that a replica holds.
+/// The complete state of a replica.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigSnapshot {
     image: Image,
-    set_by: IndexMap<Box<str>, Origination>,
-    answers: IndexMap<ChangeId, Answered>,
-    trail: AuditTrail,
-    feed: StepHistory,
+    authorship: IndexMap<Box<str>, Authorship>,
+    cached_replies: IndexMap<ChangeId, CachedReply>,
+    audit_trail: AuditTrail,
+    history: StepHistory,
 }
 
-/// Configuration, marks and audit trail of the whole system.
+/// Configuration, marks and audit trail of the system.
 #[derive(Debug, Default)]
 pub struct ConfigStore {
     state: ConfigSnapshot,
-    /// The checked form of the document; `None` before the first.
+    /// The validated form of the document; `None` before the first document.
     config: Option<Config>,
 }
 
-/// A request that passed every check, not yet carried out.
-struct Verdict {
+/// The effects of a request that passed all checks but is not yet applied.
+struct Plan {
     steps: Vec<StepChange>,
     config: Option<Config>,
     version: u64,
@@ -74,13 +76,13 @@
 }
 
 impl ConfigStore {
-    /// Everything in force.
+    /// The configuration state in force.
     #[must_use]
     pub const fn image(&self) -> &Image {
         &self.state.image
     }
 
-    /// The checked configuration.
+    /// The validated configuration; `None` before the first document.
     #[must_use]
     pub const fn config(&self) -> Option<&Config> {
         self.config.as_ref()
@@ -89,86 +91,93 @@
     /// The audit trail.
     #[must_use]
     pub const fn audit_trail(&self) -> &AuditTrail {
-        &self.state.trail
+        &self.state.audit_trail
     }
 
-    /// Carries out an order, or refuses it; either way it is recorded.
-    fn order(&mut self, order: &ConfigCommand) -> ConfigReply {
+    /// Applies or refuses a command, and records it in the audit trail. A resend
+    /// returns the first reply and is not recorded.
+    fn handle(&mut self, command: &ConfigCommand) -> ConfigReply {
         let before = self.state.image.digest();
-        if let Err(refusal) = well_formed(order) {
-            // Only the clipped record is kept: the order's size has no bound.
-            return self.record(order, before, Err(refusal));
+        if let Err(refusal) = check_fields(command) {
+            // The reply is not cached, because the size of the command is not
+            // bounded; the audit record is truncated.
+            return self.record_attempt(command, before, Err(refusal));
         }
-        let request = request_digest(order);
-        if let Some(first) = self.state.answers.get(&order.id) {
+        let request = request_digest(command);
+        if let Some(first) = self.state.cached_replies.get(&command.id) {
             if first.request == request {
                 return first.reply.clone();
             }
-            return self.record(order, before, Err(Refusal::IdReused));
+            return self.record_attempt(command, before, Err(Refusal::IdReused));
         }
-        let reply = self.decide(order).map(|verdict| self.carry_out(verdict));
-        let reply = self.record(order, before, reply);
-        self.remember(order, request, &reply);
+        let reply = self.plan(command).map(|plan| self.execute(plan));
+        let reply = self.record_attempt(command, before, reply);
+        self.cache_reply(command, request, &reply);
         reply
     }
 
-    /// Keeps the first answer.
-    fn remember(&mut self, order: &ConfigCommand, request: ContentDigest, reply: &ConfigReply) {
-        let answered = Answered {
+    /// Caches the reply to answer resends.
+    fn cache_reply(
+        &mut self,
+        command: &ConfigCommand,
+        request: ContentDigest,
+        reply: &ConfigReply,
+    ) {
+        let cached = CachedReply {
             request,
             reply: reply.clone(),
         };
-        self.state.answers.insert(order.id.clone(), answered);
-        if self.state.answers.len() > MAX_ANSWERS {
-            self.state.answers.shift_remove_index(0);
+        self.state.cached_replies.insert(command.id.clone(), cached);
+        if self.state.cached_replies.len() > MAX_CACHED_REPLIES {
+            self.state.cached_replies.shift_remove_index(0);
         }
     }
 
-    /// Takes the steps of a verdict.
-    fn carry_out(&mut self, verdict: Verdict) -> Accepted {
+    /// Applies the steps of a plan.
+    fn execute(&mut self, plan: Plan) -> Accepted {
         let before = self.state.image.index;
-        for change in verdict.steps {
+        for change in plan.steps {
             let step = Step {
                 index: ConfigIndex(self.state.image.index.0 + 1),
                 change,
             };
-            let taken = self.state.image.apply(&step);
-            assert_eq!(taken, Ok(()), "a step was made from another image");
-            self.state.feed.push(step);
+            let result = self.state.image.apply(&step);
+            assert_eq!(result, Ok(()), "a step was computed from another image");
+            self.state.history.push(step);
         }
-        assert!(self.state.image.index >= before, "the index fell");
-        if verdict.config.is_some() {
-            self.config = verdict.config;
+        assert!(self.state.image.index >= before, "the index decreased");
+        if plan.config.is_some() {
+            self.config = plan.config;
         }
         Accepted {
             index: self.state.image.index,
-            version: verdict.version,
-            digest: verdict.digest,
+            version: plan.version,
+            digest: plan.digest,
         }
     }
 
-    /// Writes an attempt to the audit trail.
-    fn record(
+    /// Records an attempt in the audit trail and returns the reply.
+    fn record_attempt(
         &mut self,
-        order: &ConfigCommand,
+        command: &ConfigCommand,
         before: ContentDigest,
         reply: ConfigReply,
     ) -> ConfigReply {
-        let time_ms = self.logged_time(order);
-        let (before, after) = digests(order, &reply, before);
-        if let (Ok(_), Action::Change { section, .. }) = (&reply, &order.action) {
-            let by = Origination {
-                author: order.author.clone(),
+        let time_ms = self.logged_time(command);
+        let (before, after) = audit_digests(command, &reply, before);
+        if let (Ok(_), Action::Change { section, .. }) = (&reply, &command.action) {
+            let authorship = Authorship {
+                author: command.author.clone(),
                 time_ms,
             };
-            self.state.set_by.insert(section.clone(), by);
+            self.state.authorship.insert(section.clone(), authorship);
         }
-        self.state.trail.append(&Entry {
+        self.state.audit_trail.append(&AuditEntry {
             time_ms,
-            author: &order.author,
-            id: &order.id,
-            action: order.action.to_string().into(),
-            cause: &order.cause,
+            author: &command.author,
+            id: &command.id,
+            action: command.action.to_string().into(),
+            cause: &command.cause,
             refused: reply.as_ref().err(),
             index: self.state.image.index,
             before,
@@ -177,68 +186,71 @@
         reply
     }
 
-    /// The time that is logged: a new leader's clock may be behind.
-    fn logged_time(&self, order: &ConfigCommand) -> u64 {
-        order.time_ms.max(self.state.trail.last_ms())
+    /// Time to log, which never decreases although the clock of a new leader may
+    /// be behind.
+    fn logged_time(&self, command: &ConfigCommand) -> u64 {
+        command.time_ms.max(self.state.audit_trail.last_time_ms())
     }
 
     // -----------------------------------------------------------------------
-    // Decisions
+    // Planning
 
-    /// Whether an order may be carried out, and its steps.
-    fn decide(&self, order: &ConfigCommand) -> Result<Verdict, Refusal> {
-        self.allowed(order)?;
-        match &order.action {
-            Action::Bootstrap(text) => self.found(text),
+    /// Checks a command and computes its steps.
+    fn plan(&self, command: &ConfigCommand) -> Result<Plan, Refusal> {
+        self.authorize(command)?;
+        match &command.action {
+            Action::Bootstrap(text) => self.plan_bootstrap(text),
             Action::Change {
                 section,
                 base,
                 text,
-            } => self.change(section, *base, text),
-            Action::Drain(name) => self.drain(order, name),
-            Action::Undrain(name) => self.undrain(name),
-            Action::Quarantine(digest, until_ms) => self.quarantine(order, *digest, *until_ms),
-            Action::ClearQuarantine(digest) => Ok(self.clear(*digest)),
+            } => self.plan_change(section, *base, text),
+            Action::Drain(name) => self.plan_drain(command, name),
+            Action::Undrain(name) => self.plan_undrain(name),
+            Action::Quarantine(digest, until_ms) => {
+                self.plan_quarantine(command, *digest, *until_ms)
+            }
+            Action::ClearQuarantine(digest) => Ok(self.plan_clear(*digest)),
         }
     }
 
-    /// Whether the author may ask for this.
-    fn allowed(&self, order: &ConfigCommand) -> Result<(), Refusal> {
-        let origin = match &order.action {
+    /// Checks that the author may request the action.
+    fn authorize(&self, command: &ConfigCommand) -> Result<(), Refusal> {
+        let origin = match &command.action {
             Action::Bootstrap(_) | Action::Quarantine(..) => Origin::Process,
             _ => Origin::Operator,
         };
-        if order.origin != origin {
+        if command.origin != origin {
             return Err(Refusal::WrongOrigin);
         }
         if origin == Origin::Process {
             return Ok(());
         }
         let config = self.config.as_ref().ok_or(Refusal::NoDocument)?;
-        let (owns, section) = match &order.action {
-            Action::Change { section, .. } => (config.owns(&order.author, section), &**section),
-            _ => (config.is_owner(&order.author), ""),
+        let (owns, section) = match &command.action {
+            Action::Change { section, .. } => (config.owns(&command.author, section), &**section),
+            _ => (config.is_owner(&command.author), ""),
         };
         if owns {
             return Ok(());
         }
         Err(Refusal::NotOwner {
-            author: order.author.clone(),
+            author: command.author.clone(),
             section: section.into(),
         })
     }
 
-    /// Decides on the first document.
-    fn found(&self, text: &str) -> Result<Verdict, Refusal> {
+    /// Plans the first document.
+    fn plan_bootstrap(&self, text: &str) -> Result<Plan, Refusal> {
         if self.config.is_some() {
             return Err(Refusal::DocumentExists);
         }
-        let document = Document::parse(text).map_err(|fault| Refusal::invalid(vec![fault]))?;
+        let document = Document::parse(text).map_err(|error| Refusal::invalid(vec![error]))?;
         let config = check(&document).map_err(Refusal::invalid)?;
         let steps = document
             .sections()
             .map(|(name, text)| section_step(name, 1, "", text));
-        Ok(Verdict {
+        Ok(Plan {
             steps: steps.collect(),
             config: Some(config),
             version: 1,
@@ -246,8 +258,13 @@
         })
     }
 
-    /// Decides on a section's new text.
-    fn change(&self, section: &str, base: SectionRevision, text: &str) -> Result<Verdict, Refusal> {
+    /// Plans a new text of a section.
+    fn plan_change(
+        &self,
+        section: &str,
+        base: SectionRevision,
+        text: &str,
+    ) -> Result<Plan, Refusal> {
         let old = self.state.image.sections.get(section);
         let (current, old_text) = old.map_or((SectionRevision::default(), ""), |old| {
             let current = SectionRevision {
@@ -262,7 +279,7 @@
         let mut document = self.state.image.document();
         document.set(section, text);
         let config = check(&document).map_err(Refusal::invalid)?;
-        Ok(Verdict {
+        Ok(Plan {
             steps: vec![section_step(section, current.version + 1, old_text, text)],
             config: Some(config),
             version: current.version + 1,
@@ -270,7 +287,7 @@
         })
     }
 
-    /// Shows both contents that claim a place.
+    /// Creates the refusal that shows the section in force and the refused text.
     fn conflict(
         &self,
         section: &str,
@@ -279,74 +296,76 @@
         refused: &str,
     ) -> Refusal {
         let text = self.state.image.sections.get(section);
-        let author = self.state.set_by.get(section);
+        let author = self.state.authorship.get(section);
         Refusal::Conflict(Box::new(Conflict {
             section: section.into(),
             base_version: base.version,
             base_digest: base.digest,
             version: current.version,
             digest: current.digest,
-            author: author.map_or("the first document".into(), |by| by.author.clone()),
+            author: author.map_or("the first document".into(), |authorship| {
+                authorship.author.clone()
+            }),
             diff: bounded_diff(text.map_or("", |section| &section.text), refused),
         }))
     }
 
-    /// Decides on a drain mark; a second mark changes nothing.
-    fn drain(&self, order: &ConfigCommand, name: &str) -> Result<Verdict, Refusal> {
+    /// Plans a drain mark; a repeated mark changes nothing.
+    fn plan_drain(&self, command: &ConfigCommand, name: &str) -> Result<Plan, Refusal> {
         let drained = &self.state.image.drained;
         if drained.contains_key(name) {
-            return Ok(self.marks(Vec::new()));
+            return Ok(self.plan_marks(Vec::new()));
         }
         if drained.len() >= MAX_DRAINED {
             return Err(Refusal::TooManyMarks);
         }
         let mark = DrainMark {
-            author: order.author.clone(),
-            time_ms: self.logged_time(order),
+            author: command.author.clone(),
+            time_ms: self.logged_time(command),
         };
-        Ok(self.marks(vec![StepChange::Drain(name.into(), mark)]))
+        Ok(self.plan_marks(vec![StepChange::Drain(name.into(), mark)]))
     }
 
-    /// Decides on taking a drain mark away.
-    fn undrain(&self, name: &str) -> Result<Verdict, Refusal> {
+    /// Plans the removal of a drain mark.
+    fn plan_undrain(&self, name: &str) -> Result<Plan, Refusal> {
         if self.state.image.drained.contains_key(name) {
-            Ok(self.marks(vec![StepChange::Undrain(name.into())]))
+            Ok(self.plan_marks(vec![StepChange::Undrain(name.into())]))
         } else {
             Err(Refusal::NotDrained(name.into()))
         }
     }
 
-    /// Decides on quarantine; lapsed marks make room.
-    fn quarantine(
+    /// Plans a quarantine mark; expired marks are removed first.
+    fn plan_quarantine(
         &self,
-        order: &ConfigCommand,
+        command: &ConfigCommand,
         digest: ContentDigest,
         until_ms: u64,
-    ) -> Result<Verdict, Refusal> {
-        let now = self.logged_time(order);
+    ) -> Result<Plan, Refusal> {
+        let now = self.logged_time(command);
         let marks = &self.state.image.quarantined;
-        let lapsed: Box<[_]> = marks
+        let expired: Box<[_]> = marks
             .iter()
             .filter(|(_, mark)| mark.until_ms <= now)
             .map(|(digest, _)| *digest)
             .collect();
-        if marks.len() - lapsed.len() >= MAX_QUARANTINED && !marks.contains_key(&digest) {
+        if marks.len() - expired.len() >= MAX_QUARANTINED && !marks.contains_key(&digest) {
             return Err(Refusal::TooManyMarks);
         }
         let mut steps = Vec::new();
-        if !lapsed.is_empty() {
-            steps.push(StepChange::ClearQuarantine(lapsed));
+        if !expired.is_empty() {
+            steps.push(StepChange::ClearQuarantine(expired));
         }
-        // A later mark never shortens an earlier one.
+        // A new mark never shortens an existing one.
         let known = marks.get(&digest).map_or(0, |mark| mark.until_ms);
         if until_ms > known.max(now) {
             steps.push(StepChange::Quarantine(digest, QuarantineMark { until_ms }));
         }
-        Ok(self.marks(steps))
+        Ok(self.plan_marks(steps))
     }
 
-    /// Decides on clearing quarantine.
-    fn clear(&self, digest: Option<ContentDigest>) -> Verdict {
+    /// Plans the end of one or all quarantines.
+    fn plan_clear(&self, digest: Option<ContentDigest>) -> Plan {
         let marks = self.state.image.quarantined.keys().copied();
         let cleared: Box<[_]> = marks
             .filter(|known| digest.is_none_or(|digest| digest == *known))
@@ -356,21 +375,21 @@
         } else {
             vec![StepChange::ClearQuarantine(cleared)]
         };
-        self.marks(steps)
+        self.plan_marks(steps)
     }
 
-    /// A verdict that changes marks only.
-    fn marks(&self, steps: Vec<StepChange>) -> Verdict {
+    /// Creates a plan that changes marks only.
+    fn plan_marks(&self, steps: Vec<StepChange>) -> Plan {
         let mut after = self.state.image.clone();
         for change in &steps {
             let index = ConfigIndex(after.index.0 + 1);
-            let taken = after.apply(&Step {
+            let result = after.apply(&Step {
                 index,
                 change: change.clone(),
             });
-            assert_eq!(taken, Ok(()), "a mark always fits");
+            assert_eq!(result, Ok(()), "a mark can always be applied");
         }
-        Verdict {
+        Plan {
             steps,
             config: None,
             version: 0,
@@ -381,41 +400,42 @@
     // -----------------------------------------------------------------------
     // Queries
 
-    /// Whether an order would be carried out.
-    fn dry_run(&self, order: &ConfigCommand) -> ConfigReply {
-        well_formed(order)?;
-        let verdict = self.decide(order)?;
-        let index = self.state.image.index.0 + verdict.steps.len() as u64;
+    /// Returns the reply that a command would get, without applying it.
+    fn dry_run(&self, command: &ConfigCommand) -> ConfigReply {
+        check_fields(command)?;
+        let plan = self.plan(command)?;
+        let index = self.state.image.index.0 + plan.steps.len() as u64;
         Ok(Accepted {
             index: ConfigIndex(index),
-            version: verdict.version,
-            digest: verdict.digest,
+            version: plan.version,
+            digest: plan.digest,
         })
     }
 
-    /// The state in short.
+    /// Summary of the state.
     fn status(&self) -> StoreStatus {
         let owners = |name: &str| {
             let owners = self.config.as_ref().and_then(|cfg| cfg.owners.get(name));
             owners.cloned().unwrap_or_default()
         };
         let sections = self.state.image.sections.iter().map(|(name, section)| {
-            let by = self.state.set_by.get(name);
+            let authorship = self.state.authorship.get(name);
             SectionSummary {
                 name: name.clone(),
                 revision: SectionRevision {
                     version: section.version,
                     digest: section.digest,
                 },
-                author: by.map_or_else(Box::default, |by| by.author.clone()),
-                time_ms: by.map_or(0, |by| by.time_ms),
+                author: authorship
+                    .map_or_else(Box::default, |authorship| authorship.author.clone()),
+                time_ms: authorship.map_or(0, |authorship| authorship.time_ms),
                 owners: owners(name),
             }
         });
         StoreStatus {
             index: self.state.image.index,
             sections: sections.collect(),
-            audit: self.state.trail.last(),
+            audit: self.state.audit_trail.last_sequence(),
         }
     }
 }
@@ -427,20 +447,20 @@
     type Answer = ConfigAnswer;
     type Snapshot = ConfigSnapshot;
 
-    fn apply(&mut self, _: LogIndex, _: Epoch, order: ConfigCommand) -> ConfigReply {
-        self.order(&order)
+    fn apply(&mut self, _: LogIndex, _: Epoch, command: ConfigCommand) -> ConfigReply {
+        self.handle(&command)
     }
 
     fn query(&self, query: &ConfigQuery) -> ConfigAnswer {
         match query {
             ConfigQuery::Poll(poll) => {
-                ConfigAnswer::Update(self.state.feed.update(*poll, &self.state.image))
+                ConfigAnswer::Update(self.state.history.update(*poll, &self.state.image))
             }
-            ConfigQuery::DryRun(order) => ConfigAnswer::DryRun(self.dry_run(order)),
+            ConfigQuery::DryRun(command) => ConfigAnswer::DryRun(self.dry_run(command)),
             ConfigQuery::Image => ConfigAnswer::Image(Box::new(self.state.image.clone())),
             ConfigQuery::Audit { after, limit } => {
                 let limit = (*limit as usize).min(MAX_AUDIT_PAGE);
-                ConfigAnswer::Audit(self.state.trail.after(*after, limit))
+                ConfigAnswer::Audit(self.state.audit_trail.after(*after, limit))
             }
             ConfigQuery::Status => ConfigAnswer::Status(self.status()),
         }
@@ -453,11 +473,11 @@
     fn restore(&mut self, snapshot: ConfigSnapshot) {
         self.config = if snapshot.image.sections.contains_key(PLATFORM_SECTION) {
             let checked = check(&snapshot.image.document());
-            // A replica that judges by other rules than its peers must stop:
-            // it would refuse what they accept.
+            // A replica whose validation differs from that of its peers must
+            // stop, because it would refuse changes that the peers accept.
             assert!(
                 checked.is_ok(),
-                "the restored document fails the checks: {checked:?}"
+                "the restored document is invalid: {checked:?}"
             );
             checked.ok()
         } else {
@@ -467,7 +487,7 @@
     }
 }
 
-/// The step that gives a section a new text.
+/// Creates the step that sets the text of a section.
 fn section_step(name: &str, version: u64, old: &str, new: &str) -> StepChange {
     StepChange::Section {
         name: name.into(),
@@ -477,23 +497,24 @@
     }
 }
 
-/// Digest of what a request asks for, without its time.
-fn request_digest(order: &ConfigCommand) -> ContentDigest {
-    // An action holds only what postcard can encode.
-    let action = postcard::to_stdvec(&order.action).unwrap_or_default();
-    ContentDigest::of(&[order.author.as_bytes(), &action])
+/// Digest of the author and action of a request, without its time.
+fn request_digest(command: &ConfigCommand) -> ContentDigest {
+    // Encoding can't fail: postcard supports all field types of an action.
+    let action = postcard::to_stdvec(&command.action).unwrap_or_default();
+    ContentDigest::of(&[command.author.as_bytes(), &action])
 }
 
-/// Bounds the size of what an order leaves behind.
-fn well_formed(order: &ConfigCommand) -> Result<(), Refusal> {
-    let name = match &order.action {
+/// Checks the size and the characters of all fields, so that the stored state
+/// is bounded.
+fn check_fields(command: &ConfigCommand) -> Result<(), Refusal> {
+    let name = match &command.action {
         Action::Change { section, .. } => section,
         Action::Drain(name) | Action::Undrain(name) => name,
-        _ => &order.author,
+        _ => &command.author,
     };
     let names = [
-        ("id", &order.id.0),
-        ("author", &order.author),
+        ("id", &command.id.0),
+        ("author", &command.author),
         ("name", name),
     ];
     for (what, text) in names {
@@ -501,10 +522,10 @@
             return Err(Refusal::Malformed(what.into()));
         }
     }
-    if order.cause.len() > MAX_CAUSE_BYTES || order.cause.chars().any(char::is_control) {
+    if command.cause.len() > MAX_CAUSE_BYTES || command.cause.chars().any(char::is_control) {
         return Err(Refusal::Malformed("cause".into()));
     }
-    match &order.action {
+    match &command.action {
         Action::Bootstrap(text) | Action::Change { text, .. }
             if text.len() > crate::MAX_DOCUMENT_BYTES =>
         {
@@ -514,13 +535,13 @@
     }
 }
 
-/// Digests before and after, as the audit trail tells them.
-fn digests(
-    order: &ConfigCommand,
+/// Digests before and after the action, for the audit record.
+fn audit_digests(
+    command: &ConfigCommand,
     reply: &ConfigReply,
     before: ContentDigest,
 ) -> (ContentDigest, ContentDigest) {
-    match (&order.action, reply) {
+    match (&command.action, reply) {
         (
             Action::Change {
                 section,
--- a/crates/quay_config/src/subscriber.rs
+++ b/crates/quay_config/src/subscriber.rs
@@ -1,4 +1,4 @@
-//! A daemon's copy of what is in force.
+//! A daemon's copy of the configuration in force.
 
 use {
     crate::{Config, ConfigError, Image, Poll, Step, Update, check},
@@ -6,36 +6,38 @@
     std::{fmt, sync::Arc},
 };
 
-/// What an update meant.
+/// Result of receiving an update.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SubscriberEvent {
-    /// Nothing new.
+    /// The update contains no changes.
     Unchanged,
-    /// A newer index is in force here.
+    /// A newer configuration was activated; its index.
     Activated(ConfigIndex),
-    /// The update is older than what is in force here, and was not taken.
+    /// The update is older than the local configuration and was ignored; its
+    /// index.
     Stale(ConfigIndex),
-    /// A step did not fit; the next poll asks for everything.
+    /// A step could not be applied; the next poll requests a snapshot.
     Resync,
-    /// The document does not pass this program's checks: it is likely newer
-    /// than the program. What was in force stays.
+    /// The document fails the validation of this program, probably because it
+    /// is written for a newer one. The previous configuration stays active.
     Invalid(Box<str>),
-    /// There is no document yet.
+    /// The control group has no document yet.
     NoDocument,
-    /// The first document must come from a confirmed read, and this was none.
+    /// The first document must come from a read confirmed by a quorum, and this
+    /// update was not confirmed.
     Unconfirmed,
 }
 
-/// A copy that never goes back.
+/// A daemon's copy of the configuration, whose index never decreases.
 #[derive(Debug)]
 pub struct Subscriber {
-    /// What is in force here; its index only rises.
+    /// The local state; its index never decreases.
     image: Image,
-    /// The checked form of `image`; `None` before the first document.
+    /// The validated form of `image`; `None` before the first document.
     config: Option<Arc<Config>>,
-    /// Whether the next poll asks for everything.
+    /// Whether the next poll requests a snapshot.
     resync: bool,
-    /// Why no newer index is in force.
+    /// Why no newer configuration is active; empty if up to date.
     blocked_reason: Box<str>,
 }
 
@@ -45,13 +47,13 @@
             image: Image::default(),
             config: None,
             resync: false,
-            blocked_reason: "no ledger host was asked yet".into(),
+            blocked_reason: "no ledger host has been polled yet".into(),
         }
     }
 }
 
 impl Subscriber {
-    /// What to ask with.
+    /// The poll to send next.
     #[must_use]
     pub const fn poll(&self) -> Poll {
         Poll {
@@ -60,34 +62,35 @@
         }
     }
 
-    /// What is in force here.
+    /// The local state.
     #[must_use]
     pub const fn image(&self) -> &Image {
         &self.image
     }
 
-    /// The checked configuration; `None` before the first document.
+    /// The validated configuration; `None` before the first document.
     #[must_use]
     pub const fn config(&self) -> Option<&Arc<Config>> {
         self.config.as_ref()
     }
 
-    /// Why nothing newer is in force; empty while all is well.
+    /// Why no newer configuration is active; empty if up to date.
     #[must_use]
     pub fn blocked_reason(&self) -> &str {
         &self.blocked_reason
     }
 
-    /// Notes that nobody answered, and why.
-    pub fn record_no_answer(&mut self, why: impl fmt::Display) {
-        self.blocked_reason = why.to_string().into();
+    /// Records that a poll was not answered, and why.
+    pub fn record_no_answer(&mut self, reason: impl fmt::Display) {
+        self.blocked_reason = reason.to_string().into();
     }
 
-    /// Takes an update. `confirmed` tells that a quorum confirmed it as current.
+    /// Processes an update. `confirmed` states that a quorum confirmed the update
+    /// as current.
     pub fn receive(&mut self, update: Update, confirmed: bool) -> SubscriberEvent {
         let before = self.image.index;
         if before == ConfigIndex(0) && !confirmed {
-            self.blocked_reason = "the answer was not confirmed by a quorum".into();
+            self.blocked_reason = "the update was not confirmed by a quorum".into();
             return SubscriberEvent::Unconfirmed;
         }
         let event = match update {
@@ -95,20 +98,23 @@
             Update::Current(_) => SubscriberEvent::Unchanged,
             Update::Empty => SubscriberEvent::NoDocument,
             Update::Snapshot(image) if image.index < before => SubscriberEvent::Stale(image.index),
-            Update::Snapshot(image) => self.replace(*image),
-            Update::Steps(steps) => self.walk(&steps),
+            Update::Snapshot(image) => self.activate(*image),
+            Update::Steps(steps) => self.apply_steps(&steps),
         };
-        assert!(self.image.index >= before, "the configuration reverted");
+        assert!(
+            self.image.index >= before,
+            "the configuration index decreased"
+        );
         self.blocked_reason = match &event {
-            SubscriberEvent::NoDocument => "the group has no document yet".into(),
-            SubscriberEvent::Invalid(why) => why.clone(),
+            SubscriberEvent::NoDocument => "the control group has no document yet".into(),
+            SubscriberEvent::Invalid(reason) => reason.clone(),
             _ => Box::default(),
         };
         event
     }
 
-    /// Takes steps one after the other; those known already are passed over.
-    fn walk(&mut self, steps: &[Step]) -> SubscriberEvent {
+    /// Applies steps in order, skipping those that were applied before.
+    fn apply_steps(&mut self, steps: &[Step]) -> SubscriberEvent {
         let mut next = self.image.clone();
         for step in steps.iter().filter(|step| step.index > self.image.index) {
             if next.apply(step).is_err() {
@@ -119,14 +125,14 @@
         if next.index == self.image.index {
             return SubscriberEvent::Unchanged;
         }
-        self.replace(next)
+        self.activate(next)
     }
 
-    /// Puts an image into force if it passes the checks.
-    fn replace(&mut self, image: Image) -> SubscriberEvent {
+    /// Activates an image if its document is valid.
+    fn activate(&mut self, image: Image) -> SubscriberEvent {
         let config = match check(&image.document()) {
             Ok(config) => config,
-            Err(faults) => return SubscriberEvent::Invalid(unusable(&image, &faults)),
+            Err(errors) => return SubscriberEvent::Invalid(invalid_reason(&image, &errors)),
         };
         let index = image.index;
         self.image = image;
@@ -136,8 +142,8 @@
     }
 }
 
-/// Says which index can't be used and why.
-fn unusable(image: &Image, faults: &[ConfigError]) -> Box<str> {
-    let first = faults.first().map(ToString::to_string).unwrap_or_default();
-    format!("index {} can't be used: {first}", image.index).into()
+/// Describes which index is invalid and why.
+fn invalid_reason(image: &Image, errors: &[ConfigError]) -> Box<str> {
+    let first = errors.first().map(ToString::to_string).unwrap_or_default();
+    format!("configuration {} is invalid: {first}", image.index).into()
 }
--- a/crates/quay_config/tests/common/mod.rs
+++ b/crates/quay_config/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests share.
-#![allow(dead_code)] // Each test file uses a part.
+//! Helpers shared by the tests.
+#![allow(dead_code)] // Each test file uses only some of the helpers.
 
 use {
     quay_config::{
@@ -35,8 +35,8 @@
 key_sha256 = "486ea46224d1bb4fb680f34f7c9ad96a8f24ec88be73ea8e5a6c65260e9cb8a7"
 "#;
 
-/// An order of `author`, whose id is `id`.
-pub fn order(id: &str, author: &str, action: Action) -> ConfigCommand {
+/// Creates a command with a given id and author.
+pub fn command(id: &str, author: &str, action: Action) -> ConfigCommand {
     let origin = match action {
         Action::Bootstrap(_) | Action::Quarantine(..) => Origin::Process,
         _ => Origin::Operator,
@@ -51,15 +51,15 @@
     }
 }
 
-pub fn apply(store: &mut ConfigStore, order: ConfigCommand) -> ConfigReply {
-    store.apply(LogIndex(1), Epoch(1), order)
+pub fn apply(store: &mut ConfigStore, command: ConfigCommand) -> ConfigReply {
+    store.apply(LogIndex(1), Epoch(1), command)
 }
 
 /// A store with [`DOCUMENT`] in force.
-pub fn founded() -> ConfigStore {
+pub fn bootstrapped_store() -> ConfigStore {
     let mut store = ConfigStore::default();
-    let found = order("found", "ledger-1", Action::Bootstrap(DOCUMENT.into()));
-    apply(&mut store, found).expect("document");
+    let bootstrap = command("found", "ledger-1", Action::Bootstrap(DOCUMENT.into()));
+    apply(&mut store, bootstrap).expect("document");
     store
 }
 
@@ -75,7 +75,7 @@
     store.image().sections[section].text.to_string()
 }
 
-/// A change of `section` from what is in force.
+/// Creates a change of `section` that is based on the revision in force.
 pub fn change(
     store: &ConfigStore,
     id: &str,
@@ -88,11 +88,11 @@
         base: base(store, section),
         text: text.into(),
     };
-    order(id, author, action)
+    command(id, author, action)
 }
 
-/// Sets the weight of shop-12.
-pub fn weigh(store: &mut ConfigStore, id: &str, weight: u32) -> ConfigReply {
+/// Sets the weight of account shop-12.
+pub fn set_weight(store: &mut ConfigStore, id: &str, weight: u32) -> ConfigReply {
     let text: Vec<String> = text(store, "ordering")
         .lines()
         .map(|line| {
@@ -103,8 +103,8 @@
             }
         })
         .collect();
-    let order = change(store, id, "ada", "ordering", &(text.join("\n") + "\n"));
-    apply(store, order)
+    let command = change(store, id, "ada", "ordering", &(text.join("\n") + "\n"));
+    apply(store, command)
 }
 
 pub fn poll(store: &ConfigStore, poll: Poll) -> Update {
--- a/crates/quay_config/tests/document.rs
+++ b/crates/quay_config/tests/document.rs
@@ -1,4 +1,4 @@
-//! Tests of cutting and checking documents.
+//! Tests of splitting and validating documents.
 
 mod common;
 
@@ -9,15 +9,15 @@
     quay_types::{AccountId, ServiceId},
 };
 
-fn faults(text: &str) -> Vec<ConfigError> {
+fn errors(text: &str) -> Vec<ConfigError> {
     match Document::parse(text) {
         Ok(document) => check(&document).expect_err("faults"),
-        Err(fault) => vec![fault],
+        Err(error) => vec![error],
     }
 }
 
 #[test]
-fn a_whole_document_is_checked() {
+fn a_valid_document_is_split_and_accepted() {
     let document = Document::parse(DOCUMENT).expect("document");
     let names: Vec<_> = document.sections().map(|(name, _)| name).collect();
     assert_eq!(names, ["platform", "ordering", "haulage"]);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn faults_name_section_key_and_line() {
+fn errors_name_section_key_and_line() {
     let cases = [
         (
             "grace_s = 6",
@@ -94,22 +94,22 @@
     ];
     for (old, new, expected) in cases {
         let text = DOCUMENT.replacen(old, new, 1);
-        let faults = faults(&text);
-        let told: Vec<_> = faults.iter().map(ToString::to_string).collect();
-        assert_eq!(told, [expected]);
+        let errors = errors(&text);
+        let messages: Vec<_> = errors.iter().map(ToString::to_string).collect();
+        assert_eq!(messages, [expected]);
     }
 }
 
 #[test]
-fn every_fault_is_told_at_once() {
+fn all_errors_are_reported_at_once() {
     let text = DOCUMENT
         .replace("grace_s = 6", "grace_s = 0")
         .replace("weight = 200", "weight = 0");
-    assert_eq!(faults(&text).len(), 2);
+    assert_eq!(errors(&text).len(), 2);
 }
 
 #[test]
-fn a_string_that_looks_like_a_header_does_not_cut() {
+fn a_string_that_looks_like_a_table_header_is_rejected() {
     let text = DOCUMENT.replace(
         "context_tokens = 220000",
         "version = \"\"\"\n[haulage.accounts.x]\n\"\"\"",
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn digests_are_read_and_written_alike() {
+fn key_digests_round_trip_through_hexadecimal() {
     let digest = KeyDigest::of("hello");
     assert_eq!(KeyDigest::from_hex(&digest.to_string()), Some(digest));
     assert!(!digest.matches(&KeyDigest::of("hullo")));
@@ -126,17 +126,17 @@
 
 proptest! {
     #[test]
-    fn any_text_is_cut_or_refused(text in "(\\[[a-c](\\.[a-c])?\\]|[a-c] = ('''|1|\"x\")|'''|#x|\n| ){0,24}") {
+    fn any_text_is_split_losslessly_or_rejected(text in "(\\[[a-c](\\.[a-c])?\\]|[a-c] = ('''|1|\"x\")|'''|#x|\n| ){0,24}") {
         if let Ok(document) = Document::parse(&text) {
             let joined: String = document.sections().map(|(_, text)| text).collect();
-            // Comments without any section after or before them are dropped.
+            // Comments in a document without sections are dropped.
             prop_assert!(text == joined || joined.is_empty());
             let _ = check(&document);
         }
     }
 
     #[test]
-    fn patches_lead_from_one_text_to_the_other(old in "[aé\n]{0,12}", new in "[aé\n]{0,12}", other in "[aé\n]{0,12}") {
+    fn a_patch_turns_one_text_into_the_other(old in "[aé\n]{0,12}", new in "[aé\n]{0,12}", other in "[aé\n]{0,12}") {
         let patch = TextPatch::between(&old, &new);
         let patched = patch.apply(&old);
         prop_assert_eq!(patched.as_deref(), Some(&*new));
@@ -144,7 +144,7 @@
     }
 
     #[test]
-    fn patches_from_outside_do_not_panic(bytes: Vec<u8>, text in "[aé]{0,8}") {
+    fn malformed_patches_do_not_panic(bytes: Vec<u8>, text in "[aé]{0,8}") {
         if let Ok(patch) = postcard::from_bytes::<TextPatch>(&bytes) {
             let _ = patch.apply(&text);
         }
--- a/crates/quay_config/tests/store.rs
+++ b/crates/quay_config/tests/store.rs
@@ -1,9 +1,9 @@
-//! Tests of the machine that the control group replicates.
+//! Tests of the replicated state machine of the control group.
 
 mod common;
 
 use {
-    common::{DOCUMENT, apply, base, change, founded, order, text, weigh},
+    common::{DOCUMENT, apply, base, bootstrapped_store, change, command, set_weight, text},
     proptest::prelude::*,
     quay_config::{
         Action, AuditRecord, ConfigAnswer, ConfigCommand, ConfigQuery, ConfigSnapshot, ConfigStore,
@@ -24,8 +24,8 @@
 }
 
 #[test]
-fn operators_with_equal_versions_conflict_and_see_both() {
-    let mut store = founded();
+fn concurrent_changes_conflict_and_the_refusal_shows_both_texts() {
+    let mut store = bootstrapped_store();
     let heavy = text(&store, "ordering").replace("200", "300");
     let light = text(&store, "ordering").replace("200", "50");
     let first = change(&store, "c-1", "ada", "ordering", &heavy);
@@ -36,7 +36,7 @@
     assert!(refusal.contains("by ada is in force"), "{refusal}");
     assert!(refusal.contains("-weight = 300\n+weight = 50"), "{refusal}");
 
-    // The same version number with another digest is no base either.
+    // The right version with a wrong digest is a conflict too.
     let mut wrong = base(&store, "ordering");
     wrong.digest = ContentDigest::of(&[b"other"]);
     let action = Action::Change {
@@ -44,18 +44,18 @@
         base: wrong,
         text: light.into(),
     };
-    let refused = apply(&mut store, order("c-3", "ada", action));
+    let refused = apply(&mut store, command("c-3", "ada", action));
     assert!(matches!(refused, Err(Refusal::Conflict(_))), "{refused:?}");
     assert_eq!(text(&store, "ordering"), heavy);
 }
 
 #[test]
-fn a_resend_gets_the_first_answer_also_after_a_restore() {
-    let mut store = founded();
+fn a_resend_returns_the_first_reply_also_after_a_restore() {
+    let mut store = bootstrapped_store();
     let heavy = text(&store, "ordering").replace("200", "300");
     let sent = change(&store, "c-1", "ada", "ordering", &heavy);
     let first = apply(&mut store, sent.clone());
-    weigh(&mut store, "c-2", 7).expect("later change");
+    set_weight(&mut store, "c-2", 7).expect("later change");
     let bytes = postcard::to_stdvec(&store.snapshot()).expect("bytes");
     let mut other = ConfigStore::default();
     other.restore(postcard::from_bytes(&bytes).expect("snapshot"));
@@ -73,20 +73,20 @@
 
 #[test]
 fn only_owners_change_a_section_and_all_attempts_are_recorded() {
-    let mut store = founded();
+    let mut store = bootstrapped_store();
     let before = store.image().clone();
     let haulage = text(&store, "haulage");
-    let foreign = change(&store, "c-1", "ada", "haulage", &haulage);
-    let refused = apply(&mut store, foreign).expect_err("not the owner");
+    let not_owned = change(&store, "c-1", "ada", "haulage", &haulage);
+    let refused = apply(&mut store, not_owned).expect_err("not the owner");
     assert_eq!(refused.to_string(), "ada does not own section haulage");
-    let stranger = order("c-2", "eve", Action::Drain("engine-1".into()));
-    assert!(apply(&mut store, stranger).is_err());
-    let posing = ConfigCommand {
+    let unknown_author = command("c-2", "eve", Action::Drain("engine-1".into()));
+    assert!(apply(&mut store, unknown_author).is_err());
+    let wrong_role = ConfigCommand {
         origin: Origin::Process,
-        ..order("c-3", "root", Action::Drain("engine-1".into()))
+        ..command("c-3", "root", Action::Drain("engine-1".into()))
     };
-    assert_eq!(apply(&mut store, posing), Err(Refusal::WrongOrigin));
-    let long = order("c-4", &"x".repeat(4_000), Action::Drain("engine-1".into()));
+    assert_eq!(apply(&mut store, wrong_role), Err(Refusal::WrongOrigin));
+    let long = command("c-4", &"x".repeat(4_000), Action::Drain("engine-1".into()));
     assert!(matches!(
         apply(&mut store, long),
         Err(Refusal::Malformed(_))
@@ -105,43 +105,44 @@
 }
 
 #[test]
-fn nothing_invalid_is_accepted() {
-    let mut store = founded();
-    // Valid alone, but ordering uses the model.
+fn invalid_documents_are_refused() {
+    let mut store = bootstrapped_store();
+    // The platform section is valid on its own, but the ordering section uses
+    // the model that this change removes.
     let platform = text(&store, "platform").replace("agent-llm", "other");
-    let order = change(&store, "c-1", "root", "platform", &platform);
-    let refused = apply(&mut store, order).expect_err("invalid").to_string();
+    let command = change(&store, "c-1", "root", "platform", &platform);
+    let refused = apply(&mut store, command).expect_err("invalid").to_string();
     assert!(refused.contains("no model agent-llm"), "{refused}");
-    // A section can't carry another one along.
+    // The text of one section must not contain tables of another.
     let both = text(&store, "haulage") + "[ordering.accounts.x]\nkey_sha256 = \"\"\n";
-    let order = change(&store, "c-2", "bruno", "haulage", &both);
-    let refused = apply(&mut store, order).expect_err("invalid").to_string();
+    let command = change(&store, "c-2", "bruno", "haulage", &both);
+    let refused = apply(&mut store, command).expect_err("invalid").to_string();
     assert!(refused.contains("can't be set here"), "{refused}");
-    let again = common::order("c-3", "ledger-2", Action::Bootstrap(DOCUMENT.into()));
+    let again = common::command("c-3", "ledger-2", Action::Bootstrap(DOCUMENT.into()));
     assert_eq!(apply(&mut store, again), Err(Refusal::DocumentExists));
 }
 
 #[test]
-fn a_dry_run_answers_like_the_run_and_leaves_no_trace() {
-    let mut store = founded();
+fn a_dry_run_returns_the_same_reply_and_changes_nothing() {
+    let mut store = bootstrapped_store();
     let heavy = text(&store, "ordering").replace("200", "300");
-    let order = change(&store, "c-1", "ada", "ordering", &heavy);
+    let command = change(&store, "c-1", "ada", "ordering", &heavy);
     let before = store.snapshot();
-    let ConfigAnswer::DryRun(dry) = store.query(&ConfigQuery::DryRun(Box::new(order.clone())))
+    let ConfigAnswer::DryRun(dry) = store.query(&ConfigQuery::DryRun(Box::new(command.clone())))
     else {
         panic!("no dry run");
     };
     assert_eq!(store.snapshot(), before);
-    assert_eq!(apply(&mut store, order), dry);
+    assert_eq!(apply(&mut store, command), dry);
 }
 
 #[test]
-fn quarantine_lapses_is_cleared_and_never_shortened() {
-    let mut store = founded();
+fn quarantine_expires_can_be_cleared_and_is_never_shortened() {
+    let mut store = bootstrapped_store();
     let digest = |n: u8| ContentDigest::of(&[&[n]]);
     let at = |id: &str, n, until_ms, time_ms| ConfigCommand {
         time_ms,
-        ..order(id, "entry-1", Action::Quarantine(digest(n), until_ms))
+        ..command(id, "entry-1", Action::Quarantine(digest(n), until_ms))
     };
     apply(&mut store, at("q-1", 1, 5_000, 1_000)).expect("mark");
     apply(&mut store, at("q-2", 1, 3_000, 1_500)).expect("mark");
@@ -151,18 +152,18 @@
     assert_eq!(left, [digest(2)]);
     apply(
         &mut store,
-        order("q-4", "ada", Action::ClearQuarantine(None)),
+        command("q-4", "ada", Action::ClearQuarantine(None)),
     )
     .expect("clear");
     assert!(store.image().quarantined.is_empty());
-    // A leader whose clock is behind does not turn the trail's time back.
+    // The logged time does not decrease when a new leader's clock is behind.
     let times: Vec<_> = audit(&store).iter().map(|record| record.time_ms).collect();
     assert!(times.is_sorted(), "{times:?}");
 }
 
 #[test]
-fn memory_stays_bounded() {
-    let mut store = founded();
+fn refused_changes_do_not_grow_the_state_without_bound() {
+    let mut store = bootstrapped_store();
     let long = "x\n".repeat(20_000);
     for n in 0..1_500 {
         let action = Action::Change {
@@ -170,7 +171,7 @@
             base: SectionRevision::default(),
             text: long.clone().into(),
         };
-        let refused = apply(&mut store, order(&format!("c-{n}"), "ada", action));
+        let refused = apply(&mut store, command(&format!("c-{n}"), "ada", action));
         assert!(matches!(refused, Err(Refusal::Conflict(_))));
     }
     let bytes = postcard::to_stdvec(&store.snapshot()).expect("bytes").len();
@@ -182,10 +183,10 @@
 
 proptest! {
     #[test]
-    fn bytes_from_outside_do_not_panic(bytes: Vec<u8>) {
-        let mut store = founded();
-        if let Ok(order) = postcard::from_bytes::<ConfigCommand>(&bytes) {
-            let _ = apply(&mut store, order);
+    fn malformed_commands_and_queries_do_not_panic(bytes: Vec<u8>) {
+        let mut store = bootstrapped_store();
+        if let Ok(command) = postcard::from_bytes::<ConfigCommand>(&bytes) {
+            let _ = apply(&mut store, command);
         }
         if let Ok(query) = postcard::from_bytes::<ConfigQuery>(&bytes) {
             let _ = store.query(&query);
@@ -193,11 +194,12 @@
         let _ = postcard::from_bytes::<ConfigSnapshot>(&bytes);
     }
 
-    /// Whatever is asked in whatever order, the index never falls, versions
-    /// rise by one, two replicas agree and a snapshot holds everything.
+    /// For random sequences of commands the index never decreases, versions
+    /// increase by one, two replicas agree, and a snapshot restores the complete
+    /// state.
     #[test]
-    fn random_orders_keep_the_invariants(picks in prop::collection::vec((0u8..6, 0u32..4, 0u8..4), 1..40)) {
-        let (mut one, mut two) = (founded(), founded());
+    fn random_commands_keep_the_invariants(picks in prop::collection::vec((0u8..6, 0u32..4, 0u8..4), 1..40)) {
+        let (mut one, mut two) = (bootstrapped_store(), bootstrapped_store());
         let mut index = one.image().index;
         for (n, (what, number, id)) in picks.iter().enumerate() {
             let id = format!("{}-{}", id, n / 3);
@@ -213,10 +215,10 @@
                     text: text(&one, "ordering").replace("weight = 2", &format!("weight = {number}")).into(),
                 },
             };
-            let order = order(&id, author, action);
+            let command = command(&id, author, action);
             let version = base(&one, "ordering").version;
-            let reply = apply(&mut one, order.clone());
-            prop_assert_eq!(&reply, &apply(&mut two, order));
+            let reply = apply(&mut one, command.clone());
+            prop_assert_eq!(&reply, &apply(&mut two, command));
             prop_assert!(one.image().index >= index);
             prop_assert!(base(&one, "ordering").version <= version + 1);
             index = one.image().index;
--- a/crates/quay_config/tests/subscriber.rs
+++ b/crates/quay_config/tests/subscriber.rs
@@ -1,9 +1,9 @@
-//! Tests of the spread of the configuration to daemons.
+//! Tests of the distribution of the configuration to daemons.
 
 mod common;
 
 use {
-    common::{apply, founded, order, poll, weigh},
+    common::{apply, bootstrapped_store, command, poll, set_weight},
     proptest::prelude::*,
     quay_config::{
         Action, ConfigStore, Document, KeyDigest, MAX_HISTORY_STEPS, MinConfigIndex, Poll,
@@ -18,14 +18,14 @@
 }
 
 #[test]
-fn a_near_subscriber_takes_steps_and_a_far_one_a_snapshot() {
-    let mut store = founded();
+fn a_subscriber_receives_steps_or_a_snapshot_if_far_behind() {
+    let mut store = bootstrapped_store();
     let mut near = Subscriber::default();
     let mut far = Subscriber::default();
     follow(&store, &mut near);
     follow(&store, &mut far);
     for n in 0..500 {
-        weigh(&mut store, &format!("c-{n}"), n + 1).expect("change");
+        set_weight(&mut store, &format!("c-{n}"), n + 1).expect("change");
         if n % 10 == 0 {
             assert!(matches!(poll(&store, near.poll()), Update::Steps(_)));
             follow(&store, &mut near);
@@ -41,8 +41,8 @@
 }
 
 #[test]
-fn a_change_of_one_line_is_small_in_a_long_section() {
-    let mut store = founded();
+fn the_update_for_one_line_in_a_long_section_is_small() {
+    let mut store = bootstrapped_store();
     let mut accounts = String::new();
     for n in 0..3_600 {
         let key = KeyDigest::of(&n.to_string());
@@ -62,8 +62,8 @@
 }
 
 #[test]
-fn the_first_document_needs_a_confirmed_read() {
-    let store = founded();
+fn the_first_document_requires_a_confirmed_read() {
+    let store = bootstrapped_store();
     let mut subscriber = Subscriber::default();
     subscriber.record_no_answer("ledger 10.0.0.1: no quorum");
     assert_eq!(subscriber.blocked_reason(), "ledger 10.0.0.1: no quorum");
@@ -86,14 +86,14 @@
 }
 
 #[test]
-fn an_old_replica_never_turns_a_subscriber_back() {
-    let mut store = founded();
+fn an_update_from_a_stale_replica_is_ignored() {
+    let mut store = bootstrapped_store();
     let mut old = Subscriber::default();
     let Update::Snapshot(old_image) = poll(&store, old.poll()) else {
         panic!("no snapshot");
     };
-    let stale = founded();
-    weigh(&mut store, "c-1", 1).expect("change");
+    let stale = bootstrapped_store();
+    set_weight(&mut store, "c-1", 1).expect("change");
     follow(&store, &mut old);
     let index = old.image().index;
     let event = old.receive(Update::Snapshot(old_image), true);
@@ -106,8 +106,8 @@
 }
 
 #[test]
-fn a_document_from_a_newer_program_is_not_put_into_force() {
-    let store = founded();
+fn a_document_for_a_newer_program_is_not_activated() {
+    let store = bootstrapped_store();
     let mut subscriber = Subscriber::default();
     follow(&store, &mut subscriber);
     let mut image = store.image().clone();
@@ -122,39 +122,42 @@
 }
 
 #[test]
-fn work_under_an_old_index_is_refused_after_the_grace() {
-    let mut floor = MinConfigIndex::new(Duration::from_secs(6));
+fn work_under_an_old_index_is_refused_after_the_grace_period() {
+    let mut min_index = MinConfigIndex::new(Duration::from_secs(6));
     let at = Time::from_millis;
-    floor.observe(at(0), ConfigIndex(3));
-    floor.observe(at(10_000), ConfigIndex(4));
-    assert!(floor.check(at(15_999), ConfigIndex(3)).is_ok());
-    let refused = floor.check(at(16_000), ConfigIndex(3)).expect_err("stale");
+    min_index.observe(at(0), ConfigIndex(3));
+    min_index.observe(at(10_000), ConfigIndex(4));
+    assert!(min_index.check(at(15_999), ConfigIndex(3)).is_ok());
+    let refused = min_index
+        .check(at(16_000), ConfigIndex(3))
+        .expect_err("stale");
     assert_eq!(refused.kind, ErrorKind::ConfigStale);
-    assert!(floor.check(at(16_000), ConfigIndex(4)).is_ok());
-    floor.observe(at(16_001), ConfigIndex(2));
-    assert!(floor.check(at(60_000), ConfigIndex(3)).is_err());
+    assert!(min_index.check(at(16_000), ConfigIndex(4)).is_ok());
+    min_index.observe(at(16_001), ConfigIndex(2));
+    assert!(min_index.check(at(60_000), ConfigIndex(3)).is_err());
 }
 
 proptest! {
     #[test]
-    fn updates_from_outside_do_not_panic(bytes: Vec<u8>) {
+    fn malformed_updates_do_not_panic(bytes: Vec<u8>) {
         if let Ok(update) = postcard::from_bytes::<Update>(&bytes) {
             let _ = Subscriber::default().receive(update, true);
         }
     }
 
-    /// Updates come late, twice and out of order; what is in force is always
-    /// an image that the group once had, and never an older one than before.
+    /// Updates arrive late, repeatedly and out of order. The active image is
+    /// always one that the group had at some time, and its index never
+    /// decreases.
     #[test]
-    fn late_and_repeated_updates_do_no_harm(picks in prop::collection::vec((any::<bool>(), any::<prop::sample::Index>()), 1..40)) {
-        let mut store = founded();
+    fn late_and_repeated_updates_never_revert_the_configuration(picks in prop::collection::vec((any::<bool>(), any::<prop::sample::Index>()), 1..40)) {
+        let mut store = bootstrapped_store();
         let mut history = vec![store.image().clone()];
         let mut subscriber = Subscriber::default();
         let mut sent = vec![poll(&store, subscriber.poll())];
         for (n, (changes, pick)) in picks.iter().enumerate() {
             if *changes {
                 let action = Action::Drain(format!("engine-{n}").into());
-                apply(&mut store, order(&format!("d-{n}"), "root", action)).expect("drain");
+                apply(&mut store, command(&format!("d-{n}"), "root", action)).expect("drain");
                 history.push(store.image().clone());
             }
             sent.push(poll(&store, subscriber.poll()));
@@ -164,7 +167,8 @@
             let index = subscriber.image().index;
             prop_assert!(index == ConfigIndex(0) || history.contains(subscriber.image()));
         }
-        // With the group in reach it catches up, at the latest by a snapshot.
+        // Once the group is reachable the subscriber catches up, by a snapshot at
+        // the latest.
         follow(&store, &mut subscriber);
         follow(&store, &mut subscriber);
         prop_assert_eq!(subscriber.image(), store.image());
--- a/crates/quay_log/src/log.rs
+++ b/crates/quay_log/src/log.rs
@@ -48,7 +48,7 @@
     /// Entries after the snapshot, contiguous.
     pub entries: Vec<LogEntry>,
     /// The incomplete last frame that was removed, if any.
-    pub torn_tail: Option<TornTail>,
+    pub cut: Option<TornTail>,
 }
 
 /// A full segment, which receives no more frames.
@@ -226,11 +226,11 @@
             .filter_map(|name| segment::number(&name).map(|number| (number, name)))
             .collect();
         segments.sort_unstable();
-        let mut torn_tail = None;
+        let mut cut = None;
         let count = segments.len();
         for (position, (number, name)) in segments.into_iter().enumerate() {
             let last = position + 1 == count;
-            torn_tail = self.recover_segment(&mut replay, number, name, last)?;
+            cut = self.recover_segment(&mut replay, number, name, last)?;
         }
         let (hard_state, entries) = replay.finish().map_err(|err| LogError::Corrupt {
             file: "snapshot".into(),
@@ -241,7 +241,7 @@
             hard_state,
             snapshot,
             entries,
-            torn_tail,
+            cut,
         })
     }
 
@@ -301,7 +301,7 @@
         bytes: usize,
         last: LogIndex,
     ) -> Result<Option<TornTail>, LogError> {
-        let torn_tail = (kept < bytes).then(|| TornTail {
+        let cut = (kept < bytes).then(|| TornTail {
             file: name.clone(),
             offset: kept as u64,
             bytes: (bytes - kept) as u64,
@@ -310,10 +310,10 @@
             // The process crashed before the first frame of the segment was
             // synced.
             self.folder.remove(&name).map_err(LogError::io(&name))?;
-            return Ok(torn_tail);
+            return Ok(cut);
         }
         let mut file = self.folder.append(&name).map_err(LogError::io(&name))?;
-        if torn_tail.is_some() {
+        if cut.is_some() {
             file.truncate(kept as u64).map_err(LogError::io(&name))?;
         }
         // The data may be unsynced if the process crashed between write and
@@ -331,6 +331,6 @@
                 last: full.last,
             });
         }
-        Ok(torn_tail)
+        Ok(cut)
     }
 }
--- a/crates/quay_log/tests/files/corruption.rs
+++ b/crates/quay_log/tests/files/corruption.rs
@@ -66,10 +66,7 @@
     folder.put(name, bytes);
     let (mut log, recovered) = Log::open(folder.clone(), CFG).expect("log");
     assert_eq!(recovered.entries.len(), 2);
-    assert_eq!(
-        recovered.torn_tail.expect("a torn tail was truncated").file,
-        *name
-    );
+    assert_eq!(recovered.cut.expect("cut").file, *name);
     let entry = Record::Entry {
         index: LogIndex(3),
         term: Epoch(2),
@@ -78,7 +75,7 @@
     log.append(&[entry]).expect("appended");
     let (_, recovered) = Log::open(folder, CFG).expect("log");
     assert_eq!(recovered.entries.len(), 3);
-    assert_eq!(recovered.torn_tail, None);
+    assert_eq!(recovered.cut, None);
 }
 
 proptest! {
--- a/crates/sapphirequayd/src/process/group/storage.rs
+++ b/crates/sapphirequayd/src/process/group/storage.rs
@@ -109,7 +109,7 @@
 /// members if it is to be made a learner.
 pub fn open(folder: &DiskFolder, first: Option<First>) -> Result<Opened, LogError> {
     let (log, mut recovered) = Log::open(folder.clone(), LogSettings::default())?;
-    if let Some(cut) = &recovered.torn_tail {
+    if let Some(cut) = &recovered.cut {
         log::warn!(
             "event=torn_tail_cut file={} offset={} bytes={}",
             cut.file,
