--- a/crates/quay_policy/src/guard/retry.rs
+++ b/crates/quay_policy/src/guard/retry.rs
@@ -72,7 +72,7 @@
 }
 
 /// Returns the budget of a key, full if it is new. When the maximum number is
-/// reached, a new budget replaces the first one, normally the oldest.
+/// reached, a new budget replaces the one at index 0 of the map.
 fn budget_for<K: std::hash::Hash + Eq>(
     budgets: &mut IndexMap<K, u32>,
     key: K,
