--- a/crates/sapphirequayd/src/gateway/control/host.rs
+++ b/crates/sapphirequayd/src/gateway/control/host.rs
@@ -3,9 +3,9 @@
 use {
     super::{
         api,
-        leading::Leading,
-        members::{MembersView, next_change},
-        state::{ControlState, Since},
+        leader_state::LeaderState,
+        membership::{MembershipInputs, next_membership_change},
+        state::{ControlState, IfChangedSince},
     },
     crate::{
         gateway::{
@@ -33,7 +33,7 @@
 };
 
 /// Longest time for which a follower's question is held without news.
-pub const FOLLOW_WAIT: Duration = Duration::from_millis(400);
+pub const FOLLOW_POLL_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Interval at which the leader has its state confirmed.
 const CONFIRM_EVERY: Duration = Duration::from_millis(100);
@@ -62,7 +62,7 @@
     /// This replica, as the others reach it.
     own: Member,
     losses: usize,
-    leading: Rc<RefCell<Option<Leading>>>,
+    leading: Rc<RefCell<Option<LeaderState>>>,
     /// Rung when followers have something to hear.
     news: Rc<Notify>,
     /// Rung when the state is to be read again at once.
@@ -154,7 +154,7 @@
 
     /// Reads the state as a quorum confirms it.
     async fn read(&self, known: Option<u64>) -> Result<Option<Box<ControlState>>, ControlReply> {
-        let query = Since(known);
+        let query = IfChangedSince(known);
         let read = self
             .ask_group(move |reply| GroupMsg::Read { query, reply })
             .await;
@@ -189,7 +189,7 @@
             (Ok(Some(state)), None) => {
                 log::info!("event=control_leads version={}", state.version);
                 let run = rand::rng().next_u64() | 1;
-                *leading = Some(Leading::new(now, run, *state, self.losses));
+                *leading = Some(LeaderState::new(now, run, *state, self.losses));
                 self.news.notify_waiters();
             }
             (Err(ControlReply::NotLeader(leader)), Some(_)) => {
@@ -263,7 +263,10 @@
     }
 
     /// Answers from what the leader holds, if this host leads.
-    async fn as_leader(&self, answer: impl FnOnce(&mut Leading) -> ControlReply) -> ControlReply {
+    async fn as_leader(
+        &self,
+        answer: impl FnOnce(&mut LeaderState) -> ControlReply,
+    ) -> ControlReply {
         let now = self.now();
         let reply = self
             .leading
@@ -347,7 +350,7 @@
 
     /// Answers a follower once there is something that it does not know.
     async fn follow(&self, mark: &Mark) -> ControlReply {
-        let ends = self.now() + FOLLOW_WAIT;
+        let ends = self.now() + FOLLOW_POLL_TIMEOUT;
         loop {
             let rung = self.news.notified();
             tokio::pin!(rung);
@@ -415,13 +418,13 @@
         } else {
             self.silent_voters(status).await
         };
-        let view = MembersView {
+        let view = MembershipInputs {
             members: &status.members,
             joining: &joining,
             silent: &silent,
             voters: 2 * self.losses + 1,
         };
-        let Some(change) = next_change(&view) else {
+        let Some(change) = next_membership_change(&view) else {
             return;
         };
         log::info!("event=members_change change={change:?}");
--- a/crates/sapphirequayd/src/gateway/control/leading.rs
+++ b/crates/sapphirequayd/src/gateway/control/leader_state.rs
@@ -31,7 +31,7 @@
 
 /// Soft state of the leader; a new leader starts with an empty one.
 #[derive(Debug)]
-pub struct Leading {
+pub struct LeaderState {
     /// Replicated state as a quorum has confirmed it last.
     pub state: ControlState,
     /// When it was confirmed.
@@ -51,7 +51,7 @@
     followers: BTreeMap<SocketAddr, Time>,
 }
 
-impl Leading {
+impl LeaderState {
     /// The leader from now on; `run` must differ from that of earlier leaders.
     pub fn new(now: Time, run: u64, state: ControlState, losses: usize) -> Self {
         let members = MembersSettings {
--- a/crates/sapphirequayd/src/gateway/control/members.rs
+++ b/crates/sapphirequayd/src/gateway/control/membership.rs
@@ -7,7 +7,7 @@
 
 /// What the leader knows when it decides on members.
 #[derive(Debug)]
-pub struct MembersView<'a> {
+pub struct MembershipInputs<'a> {
     /// Members now.
     pub members: &'a Membership,
     /// Replicas that ask to join, and still do.
@@ -24,7 +24,7 @@
 /// has lost its disk and takes that member's place; any other takes the place
 /// of a silent voter, or a free one.
 #[must_use]
-pub fn next_change(view: &MembersView<'_>) -> Option<MembershipChange> {
+pub fn next_membership_change(view: &MembershipInputs<'_>) -> Option<MembershipChange> {
     let members = view.members;
     if let Some(learner) = members.learners.first() {
         let joins = view.joining.iter().any(|it| it.node == learner.node);
--- a/crates/sapphirequayd/src/gateway/control/mod.rs
+++ b/crates/sapphirequayd/src/gateway/control/mod.rs
@@ -3,12 +3,12 @@
 
 mod api;
 mod host;
-mod leading;
-mod members;
+mod leader_state;
+mod membership;
 mod state;
 
 pub use {
-    host::{ControlHost, FOLLOW_WAIT},
-    members::{MembersView, next_change},
+    host::{ControlHost, FOLLOW_POLL_TIMEOUT},
+    membership::{MembershipInputs, next_membership_change},
     state::ControlState,
 };
--- a/crates/sapphirequayd/src/gateway/control/state.rs
+++ b/crates/sapphirequayd/src/gateway/control/state.rs
@@ -53,12 +53,12 @@
 
 /// Asks for the state unless its version is known.
 #[derive(Debug, Clone, Copy)]
-pub struct Since(pub Option<u64>);
+pub struct IfChangedSince(pub Option<u64>);
 
 impl StateMachine for ControlState {
     type Command = ControlCommand;
     type Reply = bool;
-    type Query = Since;
+    type Query = IfChangedSince;
     type Answer = Option<Box<ControlState>>;
     type Snapshot = ControlState;
 
@@ -72,7 +72,7 @@
         changed
     }
 
-    fn query(&self, known: &Since) -> Option<Box<ControlState>> {
+    fn query(&self, known: &IfChangedSince) -> Option<Box<ControlState>> {
         (known.0 != Some(self.version)).then(|| Box::new(self.clone()))
     }
 
--- a/crates/sapphirequayd/src/gateway/control_client.rs
+++ b/crates/sapphirequayd/src/gateway/control_client.rs
@@ -131,7 +131,7 @@
             let addr = self.candidate()?;
             let wait = match req {
                 LinkRequest::Gateway(GatewayRequest::Control(ControlRequest::Follow(_))) => {
-                    ONE_HOST + super::control::FOLLOW_WAIT
+                    ONE_HOST + super::control::FOLLOW_POLL_TIMEOUT
                 }
                 _ => ONE_HOST,
             };
--- a/crates/sapphirequayd/src/gateway/front/call.rs
+++ b/crates/sapphirequayd/src/gateway/front/call.rs
@@ -12,7 +12,7 @@
     crate::gateway::{
         http_server::{Body, full},
         meters::{self, Stage},
-        store::{Reserved, Turns},
+        store::{ReserveOutcome, TurnLookup},
     },
     bytes::{Bytes, BytesMut},
     http::{HeaderMap, Request, Response, StatusCode, request, response},
@@ -299,8 +299,8 @@
         let reservation = Reservation::new(stores.clone(), program, attempt);
         let left = self.allowance.remaining(self.front.now());
         match stores.reserve(program, own, Tokens(budget), left).await {
-            Reserved::Covered => Ok(Some(reservation)),
-            Reserved::Spent { others } => {
+            ReserveOutcome::Covered => Ok(Some(reservation)),
+            ReserveOutcome::Spent { others } => {
                 log::info!(
                     "event=budget_spent id={} others={others} most={} budget={budget}",
                     self.head.id,
@@ -308,7 +308,7 @@
                 );
                 Err(Refusal::BudgetSpent)
             }
-            Reserved::Unsure => Err(Refusal::StoresUnsure),
+            ReserveOutcome::Undetermined => Err(Refusal::StoresUnsure),
         }
     }
 
@@ -322,8 +322,8 @@
             return Ok(before);
         }
         let left = self.allowance.remaining(self.front.now());
-        match self.front.stores().turns(id, left).await {
-            Turns::Found(turns) => {
+        match self.front.stores().lookup_turns(id, left).await {
+            TurnLookup::Found(turns) => {
                 let mut before = BytesMut::new();
                 for turn in turns {
                     before.extend_from_slice(&turn.input);
@@ -333,11 +333,11 @@
                 self.front.put_chain(id, before.clone());
                 Ok(before)
             }
-            Turns::Absent => {
+            TurnLookup::Absent => {
                 log::info!("event=turn_absent id={} prior={prior}", self.head.id);
                 Err(Refusal::NoTurn)
             }
-            Turns::Unsure => Err(Refusal::StoresUnsure),
+            TurnLookup::Undetermined => Err(Refusal::StoresUnsure),
         }
     }
 
--- a/crates/sapphirequayd/src/gateway/front/host.rs
+++ b/crates/sapphirequayd/src/gateway/front/host.rs
@@ -126,7 +126,7 @@
     pub fn start(&self, callers: TcpListener, ready: TcpListener) {
         spawn_local(self.clone().keep_following());
         spawn_local(self.clone().keep_ticking());
-        spawn_local(self.0.stores.clone().keep_reaching());
+        spawn_local(self.0.stores.clone().probe_paths());
         let front = self.clone();
         spawn_local(async move {
             let shared = front.clone();
@@ -258,7 +258,7 @@
     fn mark(&self) -> Mark {
         Mark {
             revision: self.table().map_or(0, |table| table.revision),
-            stores: self.0.stores.version(),
+            stores: self.0.stores.view_version(),
             directory: self.upstreams().ask(self.0.reader),
             link: self.0.link,
         }
@@ -268,9 +268,9 @@
         let now = self.now();
         self.0.heard.set(Some(now));
         self.0.control.learn(news.controls);
-        self.0.stores.learn_fronts(news.followers);
+        self.0.stores.set_peer_fronts(news.followers);
         if let Some(stores) = news.stores {
-            self.0.stores.learn(stores);
+            self.0.stores.set_view(stores);
         }
         self.upstreams().learn(now, news.directory);
         if let Some(text) = news.table {
@@ -315,7 +315,7 @@
                 self.0.limits.closing.open(),
                 heard.map(|at| now.since(at)),
                 self.table().map_or(0, |table| table.revision),
-                self.0.stores.version(),
+                self.0.stores.view_version(),
             );
         }
     }
--- a/crates/sapphirequayd/src/gateway/mod.rs
+++ b/crates/sapphirequayd/src/gateway/mod.rs
@@ -16,9 +16,9 @@
 mod store;
 
 pub use {
-    control::{ControlState, MembersView, next_change},
+    control::{ControlState, MembershipInputs, next_membership_change},
     front::{Chains, EventReader, Starting, StreamEnd, UPSTREAM_BROKE_OFF, Verdict, verdict},
     messages::{ControlCommand, GatewayRequest, StoreOp, StoreReply, StoreRequest, TableText},
     run::run,
-    store::{Detour, Trial},
+    store::{PathProbe, StorePath},
 };
--- a/crates/sapphirequayd/src/gateway/run.rs
+++ b/crates/sapphirequayd/src/gateway/run.rs
@@ -215,7 +215,7 @@
         Ok(LinkRequest::Gateway(GatewayRequest::PassOn(addr, req))) => {
             let stores = stores.clone();
             spawn_local(async move {
-                let reply = stores.pass_on(addr, req).await;
+                let reply = stores.forward(addr, req).await;
                 let _ = incoming.stream.send_from_task(&reply).await;
             });
         }
--- a/crates/sapphirequayd/src/gateway/store/client.rs
+++ b/crates/sapphirequayd/src/gateway/store/client.rs
@@ -1,7 +1,7 @@
 //! How a front reads and writes turns and charges.
 
 use {
-    super::detour::{Detour, Trial},
+    super::path::{PathProbe, StorePath},
     crate::{
         gateway::{
             control_client::ask,
@@ -43,7 +43,7 @@
 
 /// What became of a reservation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reserved {
+pub enum ReserveOutcome {
     /// It is durable and the budget covers it.
     Covered,
     /// The budget does not cover it.
@@ -52,18 +52,18 @@
         others: Tokens,
     },
     /// Nobody can be sure now.
-    Unsure,
+    Undetermined,
 }
 
 /// What was found of a turn and all before it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Turns {
+pub enum TurnLookup {
     /// All of them, oldest first.
     Found(Vec<TurnRecord>),
     /// There is no such turn.
     Absent,
     /// Nobody can be sure now.
-    Unsure,
+    Undetermined,
 }
 
 /// Reads and writes turns and charges; clones share the view.
@@ -72,7 +72,7 @@
     links: Links,
     data_centre: Rc<str>,
     clock: Clock,
-    detour: Rc<RefCell<Detour>>,
+    store_path: Rc<RefCell<StorePath>>,
     view: Rc<RefCell<Rc<StoreView>>>,
 }
 
@@ -83,13 +83,13 @@
             links,
             data_centre: data_centre.into(),
             clock,
-            detour: Rc::default(),
+            store_path: Rc::default(),
             view: Rc::default(),
         }
     }
 
     /// Takes a view unless a newer one is held.
-    pub fn learn(&self, view: StoreView) {
+    pub fn set_view(&self, view: StoreView) {
         if view.version >= self.view.borrow().version {
             log::info!(
                 "event=stores_view epoch={} version={} members={}",
@@ -102,12 +102,12 @@
     }
 
     /// Learns other fronts.
-    pub fn learn_fronts(&self, fronts: Vec<SocketAddr>) {
-        self.detour.borrow_mut().set_peers(fronts);
+    pub fn set_peer_fronts(&self, fronts: Vec<SocketAddr>) {
+        self.store_path.borrow_mut().set_peers(fronts);
     }
 
     /// Version of the view that is held.
-    pub fn version(&self) -> u64 {
+    pub fn view_version(&self) -> u64 {
         self.view.borrow().version
     }
 
@@ -143,13 +143,13 @@
     /// Asks one store, straight or through another front.
     async fn ask_one(&self, addr: SocketAddr, req: StoreRequest) -> Result<StoreReply, LinkError> {
         let through = {
-            let mut detour = self.detour.borrow_mut();
-            detour.asked(self.clock.now());
-            detour.through()
+            let mut store_path = self.store_path.borrow_mut();
+            store_path.record_request(self.clock.now());
+            store_path.relay()
         };
         let reply = self.ask_by(through, addr, req, ONE_STORE).await;
         if reply.is_ok() {
-            self.detour.borrow_mut().answered();
+            self.store_path.borrow_mut().record_reply();
         }
         reply
     }
@@ -173,7 +173,7 @@
 
     /// Passes another front's question on to a store that this one knows; `None`
     /// if it did not answer.
-    pub async fn pass_on(&self, addr: SocketAddr, req: StoreRequest) -> Option<StoreReply> {
+    pub async fn forward(&self, addr: SocketAddr, req: StoreRequest) -> Option<StoreReply> {
         if !self.view().members.iter().any(|it| it.addr == addr) {
             return None;
         }
@@ -186,10 +186,10 @@
 
     /// Looks for another way while the stores are silent, until the task is
     /// dropped.
-    pub async fn keep_reaching(self) {
+    pub async fn probe_paths(self) {
         loop {
             sleep(LOOK_EVERY).await;
-            let trial = self.detour.borrow_mut().due(self.clock.now());
+            let trial = self.store_path.borrow_mut().next_probe(self.clock.now());
             if let Some(trial) = trial {
                 self.try_way(trial).await;
             }
@@ -197,18 +197,18 @@
     }
 
     /// Asks a store that any answer of will do.
-    async fn try_way(&self, trial: Trial) {
+    async fn try_way(&self, trial: PathProbe) {
         let view = self.view();
         let through = match trial {
-            Trial::Through(front) => Some(front),
-            Trial::Straight => None,
+            PathProbe::Relay(front) => Some(front),
+            PathProbe::Direct => None,
         };
         for member in &view.members {
             let req = request(&view, member, StoreOp::Chain(TurnId(0)));
             let reply = self.ask_by(through, member.addr, req, TRIAL_WITHIN).await;
             match reply {
                 Ok(_) => {
-                    if self.detour.borrow_mut().reached(trial) {
+                    if self.store_path.borrow_mut().record_success(trial) {
                         log::warn!("event=stores_way through={through:?}");
                     }
                     return;
@@ -257,28 +257,35 @@
         own: Charge,
         budget: Tokens,
         limit: Duration,
-    ) -> Reserved {
+    ) -> ReserveOutcome {
         let tries = async {
             let mut pause = Pause::default();
             loop {
                 match self.reserve_once(program, own, budget).await {
-                    Reserved::Unsure => pause.wait().await,
+                    ReserveOutcome::Undetermined => pause.wait().await,
                     reserved => return reserved,
                 }
             }
         };
-        timeout(limit, tries).await.unwrap_or(Reserved::Unsure)
+        timeout(limit, tries)
+            .await
+            .unwrap_or(ReserveOutcome::Undetermined)
     }
 
-    async fn reserve_once(&self, program: ProgramTag, own: Charge, budget: Tokens) -> Reserved {
+    async fn reserve_once(
+        &self,
+        program: ProgramTag,
+        own: Charge,
+        budget: Tokens,
+    ) -> ReserveOutcome {
         let view = self.view();
         let mut tally = ChargeTally::new(&view, own, budget);
         let mut replies = self.ask_all(&view, &StoreOp::Reserve(program, own));
         loop {
             match tally.verdict() {
-                ChargeVerdict::Covered => return Reserved::Covered,
-                ChargeVerdict::Spent { others } => return Reserved::Spent { others },
-                ChargeVerdict::Undetermined => return Reserved::Unsure,
+                ChargeVerdict::Covered => return ReserveOutcome::Covered,
+                ChargeVerdict::Spent { others } => return ReserveOutcome::Spent { others },
+                ChargeVerdict::Undetermined => return ReserveOutcome::Undetermined,
                 ChargeVerdict::Pending => {}
             }
             match replies.recv().await {
@@ -286,7 +293,7 @@
                     tally.synced(identity, charges);
                 }
                 Some((identity, _)) => tally.failed(identity),
-                None => return Reserved::Unsure,
+                None => return ReserveOutcome::Undetermined,
             }
         }
     }
@@ -295,20 +302,22 @@
     // Reads
 
     /// Finds a turn and all before it.
-    pub async fn turns(&self, last: TurnId, limit: Duration) -> Turns {
+    pub async fn lookup_turns(&self, last: TurnId, limit: Duration) -> TurnLookup {
         let tries = async {
             let mut pause = Pause::default();
             loop {
                 match self.turns_once(last).await {
-                    Turns::Unsure => pause.wait().await,
+                    TurnLookup::Undetermined => pause.wait().await,
                     found => return found,
                 }
             }
         };
-        timeout(limit, tries).await.unwrap_or(Turns::Unsure)
+        timeout(limit, tries)
+            .await
+            .unwrap_or(TurnLookup::Undetermined)
     }
 
-    async fn turns_once(&self, last: TurnId) -> Turns {
+    async fn turns_once(&self, last: TurnId) -> TurnLookup {
         let view = self.view();
         let mut held = IndexMap::new();
         // A store of the own data centre mostly has them all.
@@ -336,13 +345,13 @@
                         hold(&mut held, turns);
                     }
                     Some((identity, _)) => tally.failed(identity),
-                    None => return Turns::Unsure,
+                    None => return TurnLookup::Undetermined,
                 }
             }
             if !held.contains_key(&missing) {
                 return match tally.verdict() {
-                    LookupVerdict::Absent => Turns::Absent,
-                    _ => Turns::Unsure,
+                    LookupVerdict::Absent => TurnLookup::Absent,
+                    _ => TurnLookup::Undetermined,
                 };
             }
         }
@@ -390,7 +399,7 @@
 }
 
 /// The chain that ends with a turn, oldest first.
-fn in_order(held: &IndexMap<TurnId, TurnRecord>, last: TurnId) -> Turns {
+fn in_order(held: &IndexMap<TurnId, TurnRecord>, last: TurnId) -> TurnLookup {
     let mut turns = Vec::new();
     let mut next = Some(last);
     while let Some(turn) = next.and_then(|id| held.get(&id)) {
@@ -398,5 +407,5 @@
         next = turn.prior;
     }
     turns.reverse();
-    Turns::Found(turns)
+    TurnLookup::Found(turns)
 }
--- a/crates/sapphirequayd/src/gateway/store/mod.rs
+++ b/crates/sapphirequayd/src/gateway/store/mod.rs
@@ -2,12 +2,12 @@
 
 mod client;
 mod copy;
-mod detour;
 mod files;
 mod host;
+mod path;
 
 pub use {
-    client::{Reserved, StoreClient, Turns},
-    detour::{Detour, Trial},
+    client::{ReserveOutcome, StoreClient, TurnLookup},
     host::StoreHost,
+    path::{PathProbe, StorePath},
 };
--- a/crates/sapphirequayd/src/lib.rs
+++ b/crates/sapphirequayd/src/lib.rs
@@ -21,9 +21,9 @@
 
 pub use {
     gateway::{
-        Chains, ControlCommand, ControlState, Detour, EventReader, GatewayRequest, MembersView,
-        Starting, StoreOp, StoreReply, StoreRequest, StreamEnd, TableText, Trial,
-        UPSTREAM_BROKE_OFF, Verdict, next_change, run as run_gateway, verdict,
+        Chains, ControlCommand, ControlState, EventReader, GatewayRequest, MembershipInputs,
+        PathProbe, Starting, StoreOp, StorePath, StoreReply, StoreRequest, StreamEnd, TableText,
+        UPSTREAM_BROKE_OFF, Verdict, next_membership_change, run as run_gateway, verdict,
     },
     process::{
         BackupError, ChangeError, Clock, ControlClient, ControlFault, ControlReply, ControlRequest,
--- a/crates/sapphirequayd/tests/gateway_parts.rs
+++ b/crates/sapphirequayd/tests/gateway_parts.rs
@@ -6,8 +6,9 @@
     quay_quorum::{Member, Membership, MembershipChange, StateMachine as _},
     quay_types::{Epoch, Incarnation, LogIndex, NodeId, Time, TurnId},
     sapphirequayd::{
-        Chains, ControlCommand, ControlState, Detour, EventReader, MembersView, Starting,
-        StreamEnd, TableText, Trial, UPSTREAM_BROKE_OFF, Verdict, next_change, verdict,
+        Chains, ControlCommand, ControlState, EventReader, MembershipInputs, PathProbe, Starting,
+        StorePath, StreamEnd, TableText, UPSTREAM_BROKE_OFF, Verdict, next_membership_change,
+        verdict,
     },
 };
 
@@ -122,13 +123,13 @@
 /// Carries out changes until none is due.
 fn settle(mut members: Membership, joining: &[Member], silent: &[NodeId]) -> Membership {
     for _ in 0..9 {
-        let view = MembersView {
+        let view = MembershipInputs {
             members: &members,
             joining,
             silent,
             voters: 3,
         };
-        let Some(change) = next_change(&view) else {
+        let Some(change) = next_membership_change(&view) else {
             return members;
         };
         members = members.with_change(&change).expect("a change that fits");
@@ -160,14 +161,14 @@
 fn a_learner_that_no_longer_asks_is_dropped() {
     let mut members = three();
     members.learners.push(member(9, 9));
-    let view = MembersView {
+    let view = MembershipInputs {
         members: &members,
         joining: &[],
         silent: &[],
         voters: 3,
     };
     assert_eq!(
-        next_change(&view),
+        next_membership_change(&view),
         Some(MembershipChange::Remove(NodeId(9)))
     );
 }
@@ -225,44 +226,50 @@
 #[test]
 fn a_front_that_hears_no_store_tries_other_fronts_in_turn_and_comes_back() {
     let at = Time::from_millis;
-    let mut detour = Detour::default();
-    detour.set_peers(vec![front(1), front(2)]);
+    let mut path = StorePath::default();
+    path.set_peers(vec![front(1), front(2)]);
     // Nothing was asked, or a store answers: straight.
-    assert_eq!(detour.due(at(5_000)), None);
-    detour.asked(at(5_000));
-    detour.answered();
-    assert_eq!(detour.due(at(9_000)), None);
+    assert_eq!(path.next_probe(at(5_000)), None);
+    path.record_request(at(5_000));
+    path.record_reply();
+    assert_eq!(path.next_probe(at(9_000)), None);
     // Silence: one front after another, not all at once.
-    detour.asked(at(10_000));
-    detour.asked(at(10_300));
-    assert_eq!(detour.due(at(10_300)), None);
-    assert_eq!(detour.due(at(10_400)), Some(Trial::Through(front(1))));
-    assert_eq!(detour.due(at(10_500)), None);
-    assert_eq!(detour.due(at(10_600)), Some(Trial::Through(front(2))));
-    assert_eq!(detour.through(), None);
-    assert!(detour.reached(Trial::Through(front(2))));
-    assert_eq!(detour.through(), Some(front(2)));
+    path.record_request(at(10_000));
+    path.record_request(at(10_300));
+    assert_eq!(path.next_probe(at(10_300)), None);
+    assert_eq!(
+        path.next_probe(at(10_400)),
+        Some(PathProbe::Relay(front(1)))
+    );
+    assert_eq!(path.next_probe(at(10_500)), None);
+    assert_eq!(
+        path.next_probe(at(10_600)),
+        Some(PathProbe::Relay(front(2)))
+    );
+    assert_eq!(path.relay(), None);
+    assert!(path.record_success(PathProbe::Relay(front(2))));
+    assert_eq!(path.relay(), Some(front(2)));
     // From time to time the straight way is tried.
-    assert_eq!(detour.due(at(10_900)), None);
-    assert_eq!(detour.due(at(11_100)), Some(Trial::Straight));
-    assert!(detour.reached(Trial::Straight));
-    assert_eq!(detour.through(), None);
-    assert_eq!(detour.due(at(11_600)), None);
+    assert_eq!(path.next_probe(at(10_900)), None);
+    assert_eq!(path.next_probe(at(11_100)), Some(PathProbe::Direct));
+    assert!(path.record_success(PathProbe::Direct));
+    assert_eq!(path.relay(), None);
+    assert_eq!(path.next_probe(at(11_600)), None);
 }
 
 #[test]
 fn a_detour_that_has_become_silent_is_left_for_the_next_front() {
     let at = Time::from_millis;
-    let mut detour = Detour::default();
-    detour.asked(at(0));
-    assert_eq!(detour.due(at(1_000)), None, "no other front is known");
-    detour.set_peers(vec![front(1), front(2)]);
-    assert_eq!(detour.due(at(1_100)), Some(Trial::Through(front(1))));
-    assert!(detour.reached(Trial::Through(front(1))));
-    detour.asked(at(2_000));
-    assert_eq!(detour.due(at(2_400)), Some(Trial::Through(front(2))));
-    assert_eq!(detour.through(), None);
+    let mut path = StorePath::default();
+    path.record_request(at(0));
+    assert_eq!(path.next_probe(at(1_000)), None, "no other front is known");
+    path.set_peers(vec![front(1), front(2)]);
+    assert_eq!(path.next_probe(at(1_100)), Some(PathProbe::Relay(front(1))));
+    assert!(path.record_success(PathProbe::Relay(front(1))));
+    path.record_request(at(2_000));
+    assert_eq!(path.next_probe(at(2_400)), Some(PathProbe::Relay(front(2))));
+    assert_eq!(path.relay(), None);
     // Fewer fronts are told: the known ones stay until others are.
-    detour.set_peers(Vec::new());
-    assert_eq!(detour.due(at(2_600)), Some(Trial::Through(front(1))));
+    path.set_peers(Vec::new());
+    assert_eq!(path.next_probe(at(2_600)), Some(PathProbe::Relay(front(1))));
 }
