--- a/crates/sapphirequayd/src/gateway/store/client.rs
+++ b/crates/sapphirequayd/src/gateway/store/client.rs
@@ -1,4 +1,4 @@
-//! How a front reads and writes turns and charges.
+//! Client with which a front reads and writes turns and charges on the stores.
 
 use {
     super::path::{PathProbe, StorePath},
@@ -25,48 +25,49 @@
     },
 };
 
-/// Longest wait for one store.
-const ONE_STORE: Duration = Duration::from_millis(800);
+/// Time-out of a request to one store.
+const STORE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Longest wait for one store when a way is tried.
-const TRIAL_WITHIN: Duration = Duration::from_millis(300);
+/// Time-out of a request to one store while a path is probed.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Interval at which is looked whether the stores are silent.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+/// Interval between checks whether a path probe is due.
+const PROBE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Pause before something that too few stores answered is tried again; it
-/// doubles with each try, so that stores in trouble aren't asked all the more.
-const AGAIN_AFTER: Duration = Duration::from_millis(60);
+/// First back-off after an operation that too few stores answered. It doubles
+/// with each retry, so that overloaded stores do not receive more requests.
+const FIRST_BACKOFF: Duration = Duration::from_millis(60);
 
-/// Longest such pause.
-const AGAIN_AT_MOST: Duration = Duration::from_millis(800);
+/// Upper limit of the back-off.
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
-/// What became of a reservation.
+/// Outcome of a reservation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReserveOutcome {
-    /// It is durable and the budget covers it.
+    /// The reservation is durable and the budget covers it.
     Covered,
-    /// The budget does not cover it.
+    /// The budget does not cover the reservation.
     Spent {
         /// Tokens charged to other attempts.
         others: Tokens,
     },
-    /// Nobody can be sure now.
+    /// Too few stores answered to decide.
     Undetermined,
 }
 
-/// What was found of a turn and all before it.
+/// Result of looking up a turn and its predecessors.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TurnLookup {
-    /// All of them, oldest first.
+    /// The turn and all its predecessors, oldest first.
     Found(Vec<TurnRecord>),
-    /// There is no such turn.
+    /// No store holds the turn or one of its predecessors.
     Absent,
-    /// Nobody can be sure now.
+    /// Too few stores answered to decide.
     Undetermined,
 }
 
-/// Reads and writes turns and charges; clones share the view.
+/// Client of the stores in the current view. Clones share the view and the path
+/// to the stores.
 #[derive(Debug, Clone)]
 pub struct StoreClient {
     links: Links,
@@ -77,7 +78,7 @@
 }
 
 impl StoreClient {
-    /// A client in a data centre that knows no stores yet.
+    /// Creates a client in a data centre, with an empty view.
     pub fn new(links: Links, data_centre: &str, clock: Clock) -> Self {
         Self {
             links,
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Takes a view unless a newer one is held.
+    /// Replaces the view, unless `view` is older than the current one.
     pub fn set_view(&self, view: StoreView) {
         if view.version >= self.view.borrow().version {
             log::info!(
@@ -101,12 +102,12 @@
         }
     }
 
-    /// Learns other fronts.
+    /// Sets the other fronts that can relay requests to the stores.
     pub fn set_peer_fronts(&self, fronts: Vec<SocketAddr>) {
         self.store_path.borrow_mut().set_peers(fronts);
     }
 
-    /// Version of the view that is held.
+    /// Version of the current view.
     pub fn view_version(&self) -> u64 {
         self.view.borrow().version
     }
@@ -115,7 +116,8 @@
         Rc::clone(&self.view.borrow())
     }
 
-    /// Asks every member at once; answers come as they are.
+    /// Sends an operation to all members concurrently. The channel yields the
+    /// identity and reply of each member as it answers; `None` on failure.
     fn ask_all(
         &self,
         view: &StoreView,
@@ -127,7 +129,7 @@
             let (identity, addr) = (member.identity, member.addr);
             let req = request(view, member, op.clone());
             spawn_local(async move {
-                let reply = client.ask_one(addr, req).await;
+                let reply = client.ask_store(addr, req).await;
                 if let Err(err) = &reply {
                     log::debug!("event=store_unreached store={identity} cause={err:?}");
                 }
@@ -138,30 +140,34 @@
     }
 
     // -----------------------------------------------------------------------
-    // The way to the stores
+    // Path to the stores
 
-    /// Asks one store, straight or through another front.
-    async fn ask_one(&self, addr: SocketAddr, req: StoreRequest) -> Result<StoreReply, LinkError> {
-        let through = {
+    /// Sends a request to one store, directly or through a relay.
+    async fn ask_store(
+        &self,
+        addr: SocketAddr,
+        req: StoreRequest,
+    ) -> Result<StoreReply, LinkError> {
+        let relay = {
             let mut store_path = self.store_path.borrow_mut();
             store_path.record_request(self.clock.now());
             store_path.relay()
         };
-        let reply = self.ask_by(through, addr, req, ONE_STORE).await;
+        let reply = self.ask_through(relay, addr, req, STORE_TIMEOUT).await;
         if reply.is_ok() {
             self.store_path.borrow_mut().record_reply();
         }
         reply
     }
 
-    async fn ask_by(
+    async fn ask_through(
         &self,
-        through: Option<SocketAddr>,
+        relay: Option<SocketAddr>,
         addr: SocketAddr,
         req: StoreRequest,
         within: Duration,
     ) -> Result<StoreReply, LinkError> {
-        let Some(front) = through else {
+        let Some(front) = relay else {
             let req = LinkRequest::Gateway(GatewayRequest::Store(req));
             return ask(&self.links, (addr, LinkRole::Ledger), &req, within).await;
         };
@@ -171,50 +177,51 @@
         reply.ok_or(LinkError::Silent)
     }
 
-    /// Passes another front's question on to a store that this one knows; `None`
-    /// if it did not answer.
+    /// Forwards another front's request to a store. Returns `None` if no member
+    /// of the view has this address or the store did not answer.
     pub async fn forward(&self, addr: SocketAddr, req: StoreRequest) -> Option<StoreReply> {
         if !self.view().members.iter().any(|it| it.addr == addr) {
             return None;
         }
-        let reply = self.ask_by(None, addr, req, ONE_STORE).await;
+        let reply = self.ask_through(None, addr, req, STORE_TIMEOUT).await;
         if let Err(err) = &reply {
             log::debug!("event=store_unreached_for_another addr={addr} cause={err:?}");
         }
         reply.ok()
     }
 
-    /// Looks for another way while the stores are silent, until the task is
-    /// dropped.
+    /// Probes paths to the stores when a probe is due, until the task is dropped.
     pub async fn probe_paths(self) {
         loop {
-            sleep(LOOK_EVERY).await;
-            let trial = self.store_path.borrow_mut().next_probe(self.clock.now());
-            if let Some(trial) = trial {
-                self.try_way(trial).await;
+            sleep(PROBE_CHECK_INTERVAL).await;
+            let probe = self.store_path.borrow_mut().next_probe(self.clock.now());
+            if let Some(probe) = probe {
+                self.probe_path(probe).await;
             }
         }
     }
 
-    /// Asks a store that any answer of will do.
-    async fn try_way(&self, trial: PathProbe) {
+    /// Probes a path: any reply of any store shows that the path works.
+    async fn probe_path(&self, probe: PathProbe) {
         let view = self.view();
-        let through = match trial {
+        let relay = match probe {
             PathProbe::Relay(front) => Some(front),
             PathProbe::Direct => None,
         };
         for member in &view.members {
             let req = request(&view, member, StoreOp::Chain(TurnId(0)));
-            let reply = self.ask_by(through, member.addr, req, TRIAL_WITHIN).await;
+            let reply = self
+                .ask_through(relay, member.addr, req, PROBE_TIMEOUT)
+                .await;
             match reply {
                 Ok(_) => {
-                    if self.store_path.borrow_mut().record_success(trial) {
-                        log::warn!("event=stores_way through={through:?}");
+                    if self.store_path.borrow_mut().record_success(probe) {
+                        log::warn!("event=stores_way through={relay:?}");
                     }
                     return;
                 }
                 Err(err) => log::debug!(
-                    "event=stores_way_tried through={through:?} store={} cause={err:?}",
+                    "event=stores_way_tried through={relay:?} store={} cause={err:?}",
                     member.identity
                 ),
             }
@@ -224,16 +231,17 @@
     // -----------------------------------------------------------------------
     // Writes
 
-    /// Writes a record until it is durable or the time is over.
+    /// Writes a record, with retries until it is durable. Returns `false` if it
+    /// is not durable within `limit`.
     pub async fn write(&self, record: Record, limit: Duration) -> bool {
         let op = StoreOp::Write(record);
-        let tries = async {
-            let mut pause = Pause::default();
+        let attempts = async {
+            let mut backoff = Backoff::default();
             while !self.write_once(&op).await {
-                pause.wait().await;
+                backoff.wait().await;
             }
         };
-        timeout(limit, tries).await.is_ok()
+        timeout(limit, attempts).await.is_ok()
     }
 
     async fn write_once(&self, op: &StoreOp) -> bool {
@@ -250,7 +258,7 @@
         tally.verdict() == WriteVerdict::Durable
     }
 
-    /// Reserves tokens of a program's budget.
+    /// Reserves tokens of a program's budget, with retries within `limit`.
     pub async fn reserve(
         &self,
         program: ProgramTag,
@@ -258,16 +266,16 @@
         budget: Tokens,
         limit: Duration,
     ) -> ReserveOutcome {
-        let tries = async {
-            let mut pause = Pause::default();
+        let attempts = async {
+            let mut backoff = Backoff::default();
             loop {
                 match self.reserve_once(program, own, budget).await {
-                    ReserveOutcome::Undetermined => pause.wait().await,
+                    ReserveOutcome::Undetermined => backoff.wait().await,
                     reserved => return reserved,
                 }
             }
         };
-        timeout(limit, tries)
+        timeout(limit, attempts)
             .await
             .unwrap_or(ReserveOutcome::Undetermined)
     }
@@ -301,18 +309,18 @@
     // -----------------------------------------------------------------------
     // Reads
 
-    /// Finds a turn and all before it.
+    /// Looks up a turn and all its predecessors, with retries within `limit`.
     pub async fn lookup_turns(&self, last: TurnId, limit: Duration) -> TurnLookup {
-        let tries = async {
-            let mut pause = Pause::default();
+        let attempts = async {
+            let mut backoff = Backoff::default();
             loop {
                 match self.turns_once(last).await {
-                    TurnLookup::Undetermined => pause.wait().await,
+                    TurnLookup::Undetermined => backoff.wait().await,
                     found => return found,
                 }
             }
         };
-        timeout(limit, tries)
+        timeout(limit, attempts)
             .await
             .unwrap_or(TurnLookup::Undetermined)
     }
@@ -320,18 +328,18 @@
     async fn turns_once(&self, last: TurnId) -> TurnLookup {
         let view = self.view();
         let mut held = IndexMap::new();
-        // A store of the own data centre mostly has them all.
-        if let Some(near) = self.near(&view) {
-            let req = request(&view, near, StoreOp::Chain(last));
-            let reply = self.ask_one(near.addr, req).await;
+        // A whole store in the local data centre usually holds the full chain.
+        if let Some(local) = self.local_member(&view) {
+            let req = request(&view, local, StoreOp::Chain(last));
+            let reply = self.ask_store(local.addr, req).await;
             if let Ok(StoreReply::Chain(turns, _)) = reply {
-                hold(&mut held, turns);
+                insert_turns(&mut held, turns);
             }
         }
         let mut missing = last;
         loop {
-            match walk(&held, missing) {
-                Ok(()) => return in_order(&held, last),
+            match check_complete(&held, missing) {
+                Ok(()) => return chain_ending_with(&held, last),
                 Err(next) => missing = next,
             }
             let mut tally = LookupTally::new(&view);
@@ -342,7 +350,7 @@
                         if turns.is_empty() {
                             tally.not_found(identity);
                         }
-                        hold(&mut held, turns);
+                        insert_turns(&mut held, turns);
                     }
                     Some((identity, _)) => tally.failed(identity),
                     None => return TurnLookup::Undetermined,
@@ -357,22 +365,22 @@
         }
     }
 
-    /// A whole member in the own data centre.
-    fn near<'a>(&self, view: &'a StoreView) -> Option<&'a StoreMember> {
+    /// A whole member in the local data centre.
+    fn local_member<'a>(&self, view: &'a StoreView) -> Option<&'a StoreMember> {
         let mut whole = view.members.iter().filter(|it| it.whole);
         whole.find(|it| *it.data_centre == *self.data_centre)
     }
 }
 
-/// Pauses between tries.
+/// Exponential back-off between retries; the field counts the retries so far.
 #[derive(Debug, Default)]
-struct Pause(u32);
+struct Backoff(u32);
 
-impl Pause {
+impl Backoff {
     async fn wait(&mut self) {
-        let pause = AGAIN_AFTER * (1 << self.0.min(4));
+        let backoff = FIRST_BACKOFF * (1 << self.0.min(4));
         self.0 += 1;
-        sleep(pause.min(AGAIN_AT_MOST)).await;
+        sleep(backoff.min(MAX_BACKOFF)).await;
     }
 }
 
@@ -385,12 +393,13 @@
     }
 }
 
-fn hold(held: &mut IndexMap<TurnId, TurnRecord>, turns: Vec<TurnRecord>) {
+fn insert_turns(held: &mut IndexMap<TurnId, TurnRecord>, turns: Vec<TurnRecord>) {
     held.extend(turns.into_iter().map(|turn| (turn.id, turn)));
 }
 
-/// Walks back from a turn; the first one that is not held is the error.
-fn walk(held: &IndexMap<TurnId, TurnRecord>, from: TurnId) -> Result<(), TurnId> {
+/// Follows the predecessors of a turn. Returns the first turn that is not held
+/// as the error.
+fn check_complete(held: &IndexMap<TurnId, TurnRecord>, from: TurnId) -> Result<(), TurnId> {
     let mut next = Some(from);
     while let Some(id) = next {
         next = held.get(&id).ok_or(id)?.prior;
@@ -398,8 +407,8 @@
     Ok(())
 }
 
-/// The chain that ends with a turn, oldest first.
-fn in_order(held: &IndexMap<TurnId, TurnRecord>, last: TurnId) -> TurnLookup {
+/// The chain of turns that ends with `last`, oldest first.
+fn chain_ending_with(held: &IndexMap<TurnId, TurnRecord>, last: TurnId) -> TurnLookup {
     let mut turns = Vec::new();
     let mut next = Some(last);
     while let Some(turn) = next.and_then(|id| held.get(&id)) {
--- a/crates/sapphirequayd/src/gateway/store/copy.rs
+++ b/crates/sapphirequayd/src/gateway/store/copy.rs
@@ -1,4 +1,5 @@
-//! How a store that joins becomes whole.
+//! Copies the records of the previous members to a store that joins, until the
+//! store is whole.
 
 use {
     super::StoreHost,
@@ -16,23 +17,24 @@
     tokio::{task::spawn_local, time::sleep},
 };
 
-/// Longest wait for a part of a copy.
-const PART_WITHIN: Duration = Duration::from_millis(1_500);
+/// Time-out of a request to a source.
+const SOURCE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Pause before sources are tried again.
-const AGAIN_AFTER: Duration = Duration::from_millis(100);
+/// Delay before unfinished sources are retried.
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Turns in one part of a copy.
-const PART_TURNS: usize = 32;
+/// Maximum number of turns in one fetch request.
+const MAX_FETCH_TURNS: usize = 32;
 
-/// Parts that are under way at a time.
-const PARTS: usize = 4;
+/// Maximum number of fetch requests in flight.
+const MAX_CONCURRENT_FETCHES: usize = 4;
 
-/// Rounds after which a source that is not whole is copied as well: whole ones
-/// may be gone for good.
-const PATIENT_ROUNDS: u32 = 30;
+/// Number of rounds after which sources that are not whole are used as well,
+/// since the whole sources may be lost permanently.
+const WHOLE_SOURCE_ROUNDS: u32 = 30;
 
-/// Joins: has enough sources refuse earlier epochs, then takes writes, then
+/// Joins the view. First, enough sources adopt the new epoch, so that they
+/// refuse requests of earlier ones; then this store accepts writes; then it
 /// copies what the sources hold.
 pub async fn join(host: StoreHost, own: StoreMember) {
     log::info!(
@@ -41,10 +43,11 @@
         own.sources,
         own.needed
     );
-    let joined = host.opened() >= own.joined
-        || from_enough(&host, &own, adopt).await && host.save(Record::Open(own.joined)).await;
+    let joined = host.open_epoch() >= own.joined
+        || for_enough_sources(&host, &own, adopt).await
+            && host.save(Record::Open(own.joined)).await;
     if joined
-        && from_enough(&host, &own, copy_source).await
+        && for_enough_sources(&host, &own, copy_source).await
         && host.save(Record::Whole(own.joined)).await
     {
         log::info!("event=store_whole epoch={}", own.joined);
@@ -52,9 +55,9 @@
     host.copying.set(false);
 }
 
-/// Does something with sources until it suffices; `false` if the store is no
-/// longer the member that it was.
-async fn from_enough(
+/// Runs `step` on sources until it has succeeded on enough of them. Returns
+/// `false` if the store is no longer the member that joined.
+async fn for_enough_sources(
     host: &StoreHost,
     own: &StoreMember,
     step: impl AsyncFn(&StoreHost, &CopySource) -> bool,
@@ -62,31 +65,31 @@
     let mut done = Vec::new();
     let mut round = 0;
     loop {
-        // The sources may have moved since the last round.
+        // The addresses of the sources may have changed since the last round.
         for source in &host.sources(own) {
-            let open = source.identity != host.identity() && !done.contains(&source.identity);
-            let wanted = host.source_is_whole(source) || round >= PATIENT_ROUNDS;
-            if open && wanted && step(host, source).await {
+            let pending = source.identity != host.identity() && !done.contains(&source.identity);
+            let eligible = host.source_is_whole(source) || round >= WHOLE_SOURCE_ROUNDS;
+            if pending && eligible && step(host, source).await {
                 done.push(source.identity);
             }
             if host.copy_is_complete(own, &done) {
                 return true;
             }
         }
-        if !host.joined_in(own.joined) {
+        if !host.is_member_since(own.joined) {
             return false;
         }
-        sleep(AGAIN_AFTER).await;
+        sleep(RETRY_INTERVAL).await;
         round += 1;
     }
 }
 
-/// Has a source refuse earlier epochs.
+/// Makes a source adopt the current epoch and refuse earlier ones.
 async fn adopt(host: &StoreHost, source: &CopySource) -> bool {
     ask_source(host, source, StoreOp::Adopt).await == Some(StoreReply::Took)
 }
 
-/// Copies what a source holds and this store does not.
+/// Copies the turns that only the source holds, and all its charges.
 async fn copy_source(host: &StoreHost, source: &CopySource) -> bool {
     let (mut turns, mut programs, mut copied) = (0, 0, 0);
     loop {
@@ -122,14 +125,14 @@
     }
 }
 
-/// Copies turns, several parts at a time.
+/// Copies turns with several concurrent fetch requests.
 async fn fetch_all(host: &StoreHost, source: &CopySource, turns: &[TurnId]) -> bool {
-    for parts in turns.chunks(PART_TURNS * PARTS) {
-        let fetches: Vec<_> = parts
-            .chunks(PART_TURNS)
-            .map(|part| {
-                let (host, source, part) = (host.clone(), *source, part.to_vec());
-                spawn_local(async move { fetch(&host, &source, part).await })
+    for window in turns.chunks(MAX_FETCH_TURNS * MAX_CONCURRENT_FETCHES) {
+        let fetches: Vec<_> = window
+            .chunks(MAX_FETCH_TURNS)
+            .map(|batch| {
+                let (host, source, batch) = (host.clone(), *source, batch.to_vec());
+                spawn_local(async move { fetch(&host, &source, batch).await })
             })
             .collect();
         for fetch in fetches {
@@ -141,7 +144,7 @@
     true
 }
 
-/// Copies a part of the turns.
+/// Copies turns with one fetch request.
 async fn fetch(host: &StoreHost, source: &CopySource, turns: Vec<TurnId>) -> bool {
     match ask_source(host, source, StoreOp::Fetch(turns)).await {
         Some(StoreReply::Turns(turns)) => {
@@ -151,7 +154,7 @@
     }
 }
 
-/// Saves records side by side, so that one sync serves them.
+/// Saves records concurrently, so that one disk sync covers them.
 async fn save_all(host: &StoreHost, records: Vec<Record>) -> bool {
     let saves: Vec<_> = records
         .into_iter()
@@ -176,5 +179,5 @@
     };
     let req = LinkRequest::Gateway(GatewayRequest::Store(req));
     let source = (source.addr, LinkRole::Ledger);
-    ask(&host.links, source, &req, PART_WITHIN).await.ok()
+    ask(&host.links, source, &req, SOURCE_TIMEOUT).await.ok()
 }
--- a/crates/sapphirequayd/src/gateway/store/host.rs
+++ b/crates/sapphirequayd/src/gateway/store/host.rs
@@ -1,4 +1,5 @@
-//! A store host: answers fronts and other stores, and says how it stands.
+//! Store host: serves requests of fronts and other stores, and announces itself
+//! to the control leader.
 
 use {
     super::{
@@ -37,87 +38,91 @@
     },
 };
 
-/// Interval at which the store says how it stands.
-const HELLO_EVERY: Duration = Duration::from_millis(300);
+/// Interval between announcements to the control leader.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Longest wait for the leader to hear it.
-const HELLO_WITHIN: Duration = Duration::from_secs(1);
+/// Time-out of an announcement.
+const ANNOUNCE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Interval at which what has expired is dropped.
-const EXPIRE_EVERY: Duration = Duration::from_secs(5);
+/// Interval between removals of expired records.
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Records that go into one sync.
-const MAX_BATCH: usize = 256;
+/// Maximum number of records in one disk sync.
+const MAX_BATCH_RECORDS: usize = 256;
 
-/// Turns in one part of a list.
-const LIST_TURNS: usize = 1_024;
+/// Maximum number of turns in one list reply.
+const MAX_LIST_TURNS: usize = 1_024;
 
-/// Programs in one part of a list.
-const LIST_PROGRAMS: usize = 256;
+/// Maximum number of programs in one list reply.
+const MAX_LIST_PROGRAMS: usize = 256;
 
-/// Exit code after a disk that gave no certain answer.
+/// Exit code after a disk error that leaves the file contents unknown.
 const DISK_EXIT_CODE: i32 = 4;
 
-/// A record for the disk, and who waits for its place.
-struct Job {
+/// Request to the disk thread to write a record.
+struct WriteJob {
     record: Record,
-    done: oneshot::Sender<Option<(RecordLocation, u64)>>,
+    /// Receives the location of the record and the number of the current
+    /// segment; `None` if the disk is full.
+    reply_to: oneshot::Sender<Option<(RecordLocation, u64)>>,
 }
 
-/// A store host; clones share it.
+/// A store host. Clones share its state.
 #[derive(Debug, Clone)]
 pub struct StoreHost {
     pub(super) clock: Clock,
     pub(super) links: Links,
     client: ControlClient,
     folder: Arc<Path>,
-    hello: Rc<RefCell<StoreAnnouncement>>,
-    shelf: Rc<RefCell<StoreIndex>>,
+    announcement: Rc<RefCell<StoreAnnouncement>>,
+    index: Rc<RefCell<StoreIndex>>,
     view: Rc<RefCell<StoreView>>,
-    /// File that is written now.
+    /// Number of the segment that records are appended to.
     segment: Rc<Cell<u64>>,
-    disk: std_mpsc::Sender<Job>,
-    /// Whether a copy is under way.
+    disk: std_mpsc::Sender<WriteJob>,
+    /// Whether a join is in progress.
     pub(super) copying: Rc<Cell<bool>>,
 }
 
 impl StoreHost {
-    /// Opens the folder of a store. `hello` tells all but its identity.
+    /// Opens the folder of a store. The identity in `announcement` is used only
+    /// for a new folder.
     ///
     /// # Errors
     ///
-    /// If the folder can't be used.
+    /// If the folder can't be read or written.
     pub fn open(
         folder: PathBuf,
         segment_bytes: u64,
-        mut hello: StoreAnnouncement,
+        mut announcement: StoreAnnouncement,
         clock: Clock,
         links: Links,
         client: ControlClient,
     ) -> io::Result<Self> {
-        let mut shelf = StoreIndex::new(StoreIndexSettings::default());
+        let mut index = StoreIndex::new(StoreIndexSettings::default());
         let now = clock.now();
-        let mut replay = |record: &Record, place| shelf.insert(now, record, place);
-        let (files, identity) = Files::open(&folder, segment_bytes, hello.identity, &mut replay)?;
-        hello.identity = identity;
+        let mut replay = |record: &Record, location| index.insert(now, record, location);
+        let (files, identity) =
+            Files::open(&folder, segment_bytes, announcement.identity, &mut replay)?;
+        announcement.identity = identity;
         log::info!(
             "event=store_opened identity={identity} turns={} epoch={} whole={}",
-            shelf.turn_count(),
-            shelf.epoch(),
-            shelf.whole_epoch()
+            index.turn_count(),
+            index.epoch(),
+            index.whole_epoch()
         );
         let segment = files.segment();
         let (disk, jobs) = std_mpsc::channel();
         thread::Builder::new()
             .name("store-disk".into())
-            .spawn(move || write_all(files, &jobs))?;
+            .spawn(move || run_disk_thread(files, &jobs))?;
         Ok(Self {
             clock,
             links,
             client,
             folder: folder.into(),
-            hello: Rc::new(RefCell::new(hello)),
-            shelf: Rc::new(RefCell::new(shelf)),
+            announcement: Rc::new(RefCell::new(announcement)),
+            index: Rc::new(RefCell::new(index)),
             view: Rc::default(),
             segment: Rc::new(Cell::new(segment)),
             disk,
@@ -127,13 +132,13 @@
 
     /// Starts the host's tasks.
     pub fn start(&self) {
-        spawn_local(self.clone().keep_saying_hello());
-        spawn_local(self.clone().keep_expiring());
+        spawn_local(self.clone().announce_periodically());
+        spawn_local(self.clone().expire_periodically());
     }
 
     /// Identity of the folder.
     pub fn identity(&self) -> u64 {
-        self.hello.borrow().identity
+        self.announcement.borrow().identity
     }
 
     pub(super) fn now(&self) -> Time {
@@ -143,13 +148,14 @@
     // -----------------------------------------------------------------------
     // Requests
 
-    /// Answers a request of a front or another store.
+    /// Answers a request of a front or another store. Refuses writes until the
+    /// store has opened for the epoch in which it joined.
     pub async fn serve(&self, req: StoreRequest) -> StoreReply {
         if req.to != self.identity() {
             return StoreReply::Refused;
         }
         let (admitted, seen, open) = {
-            let held = self.shelf.borrow();
+            let held = self.index.borrow();
             (held.admit(req.epoch), held.epoch(), held.open_epoch())
         };
         if let Err(stale) = admitted {
@@ -162,10 +168,10 @@
         if req.epoch > seen && !self.save(Record::Epoch(req.epoch)).await {
             return StoreReply::Refused;
         }
-        self.carry_out(req.op).await
+        self.execute(req.op).await
     }
 
-    async fn carry_out(&self, op: StoreOp) -> StoreReply {
+    async fn execute(&self, op: StoreOp) -> StoreReply {
         match op {
             StoreOp::Write(record) => {
                 let saved = self.save(record).await;
@@ -177,7 +183,7 @@
             }
             StoreOp::Reserve(program, charge) => {
                 if self.save(Record::Charge(program, charge)).await {
-                    StoreReply::Charges(self.shelf.borrow().charges(program))
+                    StoreReply::Charges(self.index.borrow().charges(program))
                 } else {
                     StoreReply::Refused
                 }
@@ -189,35 +195,35 @@
         }
     }
 
-    /// A turn and all before it.
+    /// Returns a turn and its predecessors, as far as they are held.
     async fn chain(&self, turn: TurnId) -> StoreReply {
-        let chain = self.shelf.borrow().chain(turn);
-        let places = chain.locations.into_iter().map(|(_, place)| place);
-        match self.read_turns(places.collect()).await {
+        let chain = self.index.borrow().chain(turn);
+        let locations = chain.locations.into_iter().map(|(_, location)| location);
+        match self.read_turns(locations.collect()).await {
             Some(turns) => StoreReply::Chain(turns, chain.missing),
             None => StoreReply::Refused,
         }
     }
 
-    /// The turns of these that are held.
+    /// Returns those of `turns` that are held.
     async fn fetch(&self, turns: &[TurnId]) -> StoreReply {
-        let places: Vec<RecordLocation> = {
-            let held = self.shelf.borrow();
+        let locations: Vec<RecordLocation> = {
+            let held = self.index.borrow();
             turns.iter().filter_map(|id| held.location(*id)).collect()
         };
-        match self.read_turns(places).await {
+        match self.read_turns(locations).await {
             Some(turns) => StoreReply::Turns(turns),
             None => StoreReply::Refused,
         }
     }
 
-    /// Reads turns from the disk, on a thread that may wait for it.
-    async fn read_turns(&self, places: Vec<RecordLocation>) -> Option<Vec<TurnRecord>> {
-        if places.is_empty() {
+    /// Reads turns from the disk on a blocking thread.
+    async fn read_turns(&self, locations: Vec<RecordLocation>) -> Option<Vec<TurnRecord>> {
+        if locations.is_empty() {
             return Some(Vec::new());
         }
         let folder = Arc::clone(&self.folder);
-        let read = spawn_blocking(move || files::read_all(&folder, places)).await;
+        let read = spawn_blocking(move || files::read_all(&folder, locations)).await;
         let records = match read {
             Ok(Ok(records)) => records,
             Ok(Err(err)) => {
@@ -236,11 +242,12 @@
         Some(turns.collect())
     }
 
-    /// A part of all that is held.
+    /// Lists the turns and charges after the given numbers, up to the limits of
+    /// one reply.
     fn list(&self, turns: u64, programs: u64) -> StoreReply {
-        let held = self.shelf.borrow();
-        let listed = held.turns_after(turns, LIST_TURNS);
-        let (last_program, charges) = held.charges_after(programs, LIST_PROGRAMS);
+        let held = self.index.borrow();
+        let listed = held.turns_after(turns, MAX_LIST_TURNS);
+        let (last_program, charges) = held.charges_after(programs, MAX_LIST_PROGRAMS);
         StoreReply::List(Box::new(StoreList {
             last_turn: listed.last().map_or(turns, |(number, _)| *number),
             turns: listed.into_iter().map(|(_, id)| id).collect(),
@@ -251,10 +258,11 @@
 
     /// Whether a turn is held.
     pub(super) fn holds_turn(&self, turn: TurnId) -> bool {
-        self.shelf.borrow().location(turn).is_some()
+        self.index.borrow().location(turn).is_some()
     }
 
-    /// Whether a joining store is whole once it has copied from these sources.
+    /// Whether a joining store is whole after copying from the sources in
+    /// `copied`.
     pub(super) fn copy_is_complete(&self, own: &StoreMember, copied: &[u64]) -> bool {
         self.view.borrow().copy_is_complete(own, copied)
     }
@@ -264,65 +272,68 @@
         self.view.borrow().source_is_whole(source)
     }
 
-    /// Saves and syncs a record unless it is held; `false` if the disk refuses.
+    /// Writes and syncs a record unless it is held already. Returns `false` if
+    /// the record could not be written.
     pub(super) async fn save(&self, record: Record) -> bool {
-        if self.shelf.borrow().holds(&record) {
+        if self.index.borrow().holds(&record) {
             return true;
         }
-        let (done, saved) = oneshot::channel();
-        let job = Job {
+        let (reply_to, saved) = oneshot::channel();
+        let job = WriteJob {
             record: record.clone(),
-            done,
+            reply_to,
         };
         if self.disk.send(job).is_err() {
             return false;
         }
-        let Ok(Some((place, segment))) = saved.await else {
+        let Ok(Some((location, segment))) = saved.await else {
             return false;
         };
         self.segment.set(segment);
         let now = self.now();
-        self.shelf.borrow_mut().insert(now, &record, place);
+        self.index.borrow_mut().insert(now, &record, location);
         true
     }
 
     // -----------------------------------------------------------------------
     // Tasks
 
-    /// Says how the store stands, again and again.
-    async fn keep_saying_hello(self) {
+    /// Announces the store to the control leader periodically, and applies the
+    /// views that the leader returns.
+    async fn announce_periodically(self) {
         loop {
-            let hello = StoreAnnouncement {
-                whole: self.shelf.borrow().whole_epoch(),
-                ..self.hello.borrow().clone()
+            let announcement = StoreAnnouncement {
+                whole: self.index.borrow().whole_epoch(),
+                ..self.announcement.borrow().clone()
             };
             let reply = self
                 .client
-                .ask(ControlRequest::Hello(hello), HELLO_WITHIN)
+                .ask(ControlRequest::Hello(announcement), ANNOUNCE_TIMEOUT)
                 .await;
             if let Some(ControlReply::Stores(view)) = reply {
-                self.take_view(view).await;
+                self.apply_view(view).await;
             }
-            sleep(HELLO_EVERY).await;
+            sleep(ANNOUNCE_INTERVAL).await;
         }
     }
 
-    /// Takes the view in force, and what it asks of this store.
-    async fn take_view(&self, view: StoreView) {
+    /// Applies a view, unless a newer one was applied before.
+    async fn apply_view(&self, view: StoreView) {
         if view.version < self.view.borrow().version {
             return;
         }
         let own = view.member(self.identity()).cloned();
         self.view.replace(view);
         if let Some(own) = own {
-            self.take_membership(&own).await;
+            self.apply_membership(&own).await;
         }
     }
 
-    /// Opens a store that has become a member.
-    async fn take_membership(&self, own: &StoreMember) {
+    /// Opens the store for writes if it is a whole member, or starts to copy
+    /// from the sources if it is not.
+    async fn apply_membership(&self, own: &StoreMember) {
         let (open, whole) = {
-            let held = self.shelf.borrow();
+            let held = self.index.borrow();
             (held.open_epoch(), held.whole_epoch())
         };
         if own.whole {
@@ -337,38 +348,38 @@
         }
     }
 
-    /// Epoch in which the store opened last.
-    pub(super) fn opened(&self) -> u64 {
-        self.shelf.borrow().open_epoch()
+    /// Epoch of the latest join for which the store accepts writes.
+    pub(super) fn open_epoch(&self) -> u64 {
+        self.index.borrow().open_epoch()
     }
 
-    /// Whether the store still is the member that joined in an epoch.
-    pub(super) fn joined_in(&self, epoch: u64) -> bool {
+    /// Whether the store is still the member that joined in `epoch`.
+    pub(super) fn is_member_since(&self, epoch: u64) -> bool {
         let view = self.view.borrow();
         view.member(self.identity())
             .is_some_and(|own| own.joined == epoch)
     }
 
-    /// Where the sources of a joining store are now.
+    /// Sources of a joining store, with their current addresses.
     pub(super) fn sources(&self, own: &StoreMember) -> Vec<CopySource> {
         self.view.borrow().sources_of(own).to_vec()
     }
 
-    /// Epoch of the view in force.
+    /// Epoch of the current view.
     pub(super) fn epoch(&self) -> u64 {
         self.view.borrow().epoch
     }
 
-    /// Drops what has expired, again and again.
-    async fn keep_expiring(self) {
+    /// Removes expired records and empty segments periodically.
+    async fn expire_periodically(self) {
         loop {
-            sleep(EXPIRE_EVERY).await;
+            sleep(EXPIRY_INTERVAL).await;
             let now = self.now();
             {
-                let held = self.shelf.borrow();
+                let held = self.index.borrow();
                 meters::store(held.turn_count(), held.whole_epoch() > 0);
             }
-            let empty = self.shelf.borrow_mut().expire(now, self.segment.get());
+            let empty = self.index.borrow_mut().expire(now, self.segment.get());
             for segment in empty {
                 match files::remove(&self.folder, segment) {
                     Ok(()) => log::info!("event=store_file_removed segment={segment}"),
@@ -381,39 +392,43 @@
     }
 }
 
-/// Writes records until the host stops; one sync serves all that wait.
-fn write_all(mut files: Files, jobs: &std_mpsc::Receiver<Job>) {
-    let mut refused = false;
+/// Disk thread: writes records until the host is dropped. One sync covers all
+/// records that are queued.
+fn run_disk_thread(mut files: Files, jobs: &std_mpsc::Receiver<WriteJob>) {
+    let mut disk_full = false;
     while let Ok(first) = jobs.recv() {
         let mut batch = vec![first];
-        while batch.len() < MAX_BATCH
+        while batch.len() < MAX_BATCH_RECORDS
             && let Ok(job) = jobs.try_recv()
         {
             batch.push(job);
         }
-        let (records, waiting): (Vec<_>, Vec<_>) =
-            batch.into_iter().map(|job| (job.record, job.done)).unzip();
+        let (records, waiters): (Vec<_>, Vec<_>) = batch
+            .into_iter()
+            .map(|job| (job.record, job.reply_to))
+            .unzip();
         let began = Instant::now();
         match files.append(&records) {
-            Ok(places) => {
-                if std::mem::take(&mut refused) {
+            Ok(locations) => {
+                if std::mem::take(&mut disk_full) {
                     log::info!("event=store_disk_regained");
                 }
                 meters::synced(records.len(), began.elapsed());
-                for (place, done) in places.into_iter().zip(waiting) {
-                    let _ = done.send(Some((place, files.segment())));
+                for (location, reply_to) in locations.into_iter().zip(waiters) {
+                    let _ = reply_to.send(Some((location, files.segment())));
                 }
             }
             Err(err) if err.kind() == io::ErrorKind::StorageFull => {
-                if !std::mem::replace(&mut refused, true) {
+                if !std::mem::replace(&mut disk_full, true) {
                     log::error!("event=store_disk_full records={}", records.len());
                 }
-                for done in waiting {
-                    let _ = done.send(None);
+                for reply_to in waiters {
+                    let _ = reply_to.send(None);
                 }
             }
             Err(err) => {
-                // After a failed sync nobody knows what the disk holds.
+                // After a failed sync the contents of the disk are unknown, so
+                // the process ends instead of serving requests.
                 log::error!("event=store_disk_failed cause={err}");
                 log::logger().flush();
                 std::process::exit(DISK_EXIT_CODE);
--- a/crates/sapphirequayd/src/gateway/store/mod.rs
+++ b/crates/sapphirequayd/src/gateway/store/mod.rs
@@ -1,4 +1,4 @@
-//! The store role: kept turns and charges of programs on disk.
+//! The store role: keeps turns and charges of programs on disk.
 
 mod client;
 mod copy;
--- a/crates/sapphirequayd/src/gateway/store/path.rs
+++ b/crates/sapphirequayd/src/gateway/store/path.rs
@@ -9,8 +9,8 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// Time for which stores leave every question without an answer until another
-/// front is last_probe: several times what a sync takes.
+/// Time without a reply from any store after which other fronts are probed as
+/// relays: several times the duration of a disk sync.
 const SILENCE_BEFORE_RELAY: Duration = Duration::from_millis(400);
 
 /// Interval between probes of relays, which are probed one at a time.
