--- a/crates/sapphirequayd/src/gateway/control/api.rs
+++ b/crates/sapphirequayd/src/gateway/control/api.rs
@@ -1,4 +1,4 @@
-//! HTTP interface of a control host, for operators and upstreams.
+//! HTTP API of a control host, for operators and upstreams.
 
 use {
     super::ControlHost,
@@ -14,67 +14,68 @@
     std::{convert::Infallible, time::Duration},
 };
 
-/// Largest body of an operator's call, in bytes.
+/// Maximum size of a request body in bytes.
 const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// Time in which a call is answered; callers turn to another host after a second.
-const ANSWER_WITHIN: Duration = Duration::from_millis(850);
+/// Time-out of a request to the leader. Callers fail over to another host after
+/// one second.
+const LEADER_TIMEOUT: Duration = Duration::from_millis(850);
 
-/// Answers callers until the process ends.
+/// Serves HTTP requests until the process ends.
 pub async fn serve<D: Dialect>(host: ControlHost<D>, listener: tokio::net::TcpListener) {
-    let answer = move |req| {
+    let handler = move |req| {
         let host = host.clone();
-        async move { Ok::<_, Infallible>(answer(&host, req).await) }
+        async move { Ok::<_, Infallible>(handle(&host, req).await) }
     };
-    http_server::serve(listener, answer, &http_server::ServerLimits::default()).await;
+    http_server::serve(listener, handler, &http_server::ServerLimits::default()).await;
 }
 
-/// Answers one call.
-async fn answer<D: Dialect>(host: &ControlHost<D>, req: Request<Incoming>) -> Response<Body> {
+/// Handles one HTTP request.
+async fn handle<D: Dialect>(host: &ControlHost<D>, req: Request<Incoming>) -> Response<Body> {
     let (head, body) = req.into_parts();
     let body = match Limited::new(body, MAX_BODY_BYTES).collect().await {
         Ok(body) => body.to_bytes(),
         Err(err) => {
             log::info!("event=operator_body_unread path={} cause={err}", head.uri);
-            return status(StatusCode::BAD_REQUEST);
+            return empty_response(StatusCode::BAD_REQUEST);
         }
     };
     let path: Box<str> = head.uri.path().into();
-    let whole = Request::from_parts(head, &body[..]);
-    let answer = match host.dialect.parse_operator_call(&whole) {
-        Ok(call) => carry_out(host, call, &body).await,
-        Err(OperatorError::NoSuchCall) => return status(StatusCode::NOT_FOUND),
+    let req = Request::from_parts(head, &body[..]);
+    let response = match host.dialect.parse_operator_call(&req) {
+        Ok(call) => execute(host, call, &body).await,
+        Err(OperatorError::NoSuchCall) => return empty_response(StatusCode::NOT_FOUND),
         Err(fault) => {
             log::info!("event=operator_call_refused path={path} cause=\"{fault}\"");
             OperatorResponse::Invalid(fault.to_string().into())
         }
     };
-    if answer == OperatorResponse::Unavailable {
+    if response == OperatorResponse::Unavailable {
         log::warn!("event=operator_call_unsure path={path}");
     }
     host.dialect
-        .operator_response(&answer)
+        .operator_response(&response)
         .map(|body| full(Bytes::from(body.into_vec())))
 }
 
-fn status(status: StatusCode) -> Response<Body> {
+fn empty_response(status: StatusCode) -> Response<Body> {
     let mut response = Response::new(full(Bytes::new()));
     *response.status_mut() = status;
     response
 }
 
-/// Carries out a call at the leader, wherever that is.
-async fn carry_out<D: Dialect>(
+/// Executes a call on this host if it leads, or on the leader otherwise.
+async fn execute<D: Dialect>(
     host: &ControlHost<D>,
     call: OperatorCall,
     body: &Bytes,
 ) -> OperatorResponse {
     let (req, what) = match call {
-        OperatorCall::PutTable => match table_text(&host.dialect, body) {
+        OperatorCall::PutTable => match parse_table_text(&host.dialect, body) {
             Ok(table) => (ControlRequest::PutTable(table), "table".into()),
-            Err(why) => {
-                log::info!("event=table_refused cause=\"{why}\"");
-                return OperatorResponse::Invalid(why);
+            Err(reason) => {
+                log::info!("event=table_refused cause=\"{reason}\"");
+                return OperatorResponse::Invalid(reason);
             }
         },
         OperatorCall::GetTable => (ControlRequest::GetTable, "table".into()),
@@ -90,15 +91,16 @@
     };
     let reply = match host.serve(req.clone()).await {
         ControlReply::NotLeader(_) | ControlReply::Unavailable => {
-            host.client.ask(req, ANSWER_WITHIN).await
+            host.client.ask(req, LEADER_TIMEOUT).await
         }
         reply => Some(reply),
     };
-    operator_answer(reply, what)
+    operator_response_for(reply, what)
 }
 
-/// What a reply is to an operator.
-fn operator_answer(reply: Option<ControlReply>, what: Box<str>) -> OperatorResponse {
+/// Converts a reply of the leader to an operator response. `what` names the
+/// object of the call.
+fn operator_response_for(reply: Option<ControlReply>, what: Box<str>) -> OperatorResponse {
     match reply {
         Some(ControlReply::Done) => OperatorResponse::Done,
         Some(ControlReply::Table(Some(table))) => OperatorResponse::Table(table.document),
@@ -109,8 +111,8 @@
     }
 }
 
-/// Reads and checks a table.
-fn table_text(dialect: &impl Dialect, document: &Bytes) -> Result<TableText, Box<str>> {
+/// Parses and validates a routing table.
+fn parse_table_text(dialect: &impl Dialect, document: &Bytes) -> Result<TableText, Box<str>> {
     let table = dialect
         .parse_table(document)
         .map_err(|fault| fault.to_string())?;
--- a/crates/sapphirequayd/src/gateway/control/host.rs
+++ b/crates/sapphirequayd/src/gateway/control/host.rs
@@ -1,4 +1,5 @@
-//! A control host: the replica, and what only its leader does.
+//! Control host: serves requests through its replica of the control group, and
+//! performs the duties of the leader while it leads.
 
 use {
     super::{
@@ -32,41 +33,45 @@
     },
 };
 
-/// Longest time for which a follower's question is held without news.
+/// Time after which a follower's long poll is answered without an update.
 pub const FOLLOW_POLL_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Interval at which the leader has its state confirmed.
-const CONFIRM_EVERY: Duration = Duration::from_millis(100);
+/// Interval at which the leader confirms its state with a quorum.
+const CONFIRM_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Interval at which members of group and stores are looked at.
-const MEMBERS_EVERY: Duration = Duration::from_millis(250);
+/// Interval between checks of the membership of the control group and the
+/// stores.
+const MEMBERSHIP_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Longest wait for a quorum; callers turn to another host after a second.
-const QUORUM_WAIT: Duration = Duration::from_millis(600);
+/// Time-out of a request to the replica, which waits for a quorum. Callers fail
+/// over to another host after one second.
+const QUORUM_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Silence after which a voter's place is given to a newcomer.
-const VOTER_SILENT: Duration = Duration::from_secs(2);
+/// Time without an answer after which a joining replica may replace a voter.
+const VOTER_SILENCE_LIMIT: Duration = Duration::from_secs(2);
 
-/// Longest wait for a voter that is asked whether it lives.
-const VOTER_ANSWER: Duration = Duration::from_millis(300);
+/// Time-out of a liveness check of a voter.
+const VOTER_CHECK_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A control host; clones share it.
+/// A control host. Clones share its state.
 #[derive(Debug)]
 pub struct ControlHost<D> {
     pub(super) dialect: D,
     clock: Clock,
     links: Links,
-    /// Reaches the leader when it is another host.
+    /// Client for the leader when another host leads.
     pub(super) client: ControlClient,
     group: Mailbox<GroupMsg<ControlState>>,
-    /// This replica, as the others reach it.
+    /// This replica, with the address at which other members reach it.
     own: Member,
+    /// Number of members whose loss the group and the stores tolerate.
     losses: usize,
+    /// State of the leader; `None` while this host does not lead.
     leading: Rc<RefCell<Option<LeaderState>>>,
-    /// Rung when followers have something to hear.
-    news: Rc<Notify>,
-    /// Rung when the state is to be read again at once.
-    changed: Rc<Notify>,
+    /// Notified when followers may have an update to receive.
+    updates: Rc<Notify>,
+    /// Notified when the state has changed and must be read at once.
+    state_changed: Rc<Notify>,
 }
 
 impl<D: Clone> Clone for ControlHost<D> {
@@ -80,14 +85,15 @@
             own: self.own.clone(),
             losses: self.losses,
             leading: Rc::clone(&self.leading),
-            news: Rc::clone(&self.news),
-            changed: Rc::clone(&self.changed),
+            updates: Rc::clone(&self.updates),
+            state_changed: Rc::clone(&self.state_changed),
         }
     }
 }
 
 impl<D: Dialect> ControlHost<D> {
-    /// The host around a replica that runs.
+    /// Creates a host for a running replica, which `group` reaches. The control
+    /// group and the stores tolerate the loss of `losses` members each.
     pub fn new(
         dialect: D,
         clock: Clock,
@@ -106,8 +112,8 @@
             own,
             losses,
             leading: Rc::default(),
-            news: Rc::default(),
-            changed: Rc::default(),
+            updates: Rc::default(),
+            state_changed: Rc::default(),
         }
     }
 
@@ -115,8 +121,8 @@
     pub fn start(&self, listener: std::net::TcpListener) -> std::io::Result<()> {
         let listener = tokio::net::TcpListener::from_std(listener)?;
         spawn_local(api::serve(self.clone(), listener));
-        spawn_local(self.clone().keep_confirmed());
-        spawn_local(self.clone().keep_members());
+        spawn_local(self.clone().confirm_periodically());
+        spawn_local(self.clone().maintain_membership());
         Ok(())
     }
 
@@ -127,24 +133,24 @@
     // -----------------------------------------------------------------------
     // Replica
 
-    /// Asks the replica; `None` if no answer came in time.
+    /// Sends a message to the replica. Returns `None` on a time-out.
     async fn ask_group<T: Send + 'static>(
         &self,
         msg: impl FnOnce(std::sync::mpsc::SyncSender<T>) -> GroupMsg<ControlState> + Send + 'static,
     ) -> Option<T> {
         let group = self.group.clone();
         let asked = spawn_blocking(move || group.ask(msg));
-        timeout(QUORUM_WAIT, asked).await.ok()?.ok()?
+        timeout(QUORUM_TIMEOUT, asked).await.ok()?.ok()?
     }
 
-    /// Carries out a command.
+    /// Replicates a command. Returns whether it changed the state.
     async fn propose(&self, command: ControlCommand) -> Result<bool, ControlReply> {
         let done = self
             .ask_group(|reply| GroupMsg::Propose { command, reply })
             .await;
         match done {
             Some(Ok(changed)) => {
-                self.changed.notify_one();
+                self.state_changed.notify_one();
                 Ok(changed)
             }
             Some(Err(GroupError::NotLeader(leader))) => Err(ControlReply::NotLeader(leader)),
@@ -152,7 +158,8 @@
         }
     }
 
-    /// Reads the state as a quorum confirms it.
+    /// Reads the state with confirmation by a quorum. Returns `None` if its
+    /// version equals `known`.
     async fn read(&self, known: Option<u64>) -> Result<Option<Box<ControlState>>, ControlReply> {
         let query = IfChangedSince(known);
         let read = self
@@ -165,43 +172,44 @@
         }
     }
 
-    /// Has the leader's state confirmed again and again.
-    async fn keep_confirmed(self) {
+    /// Confirms the leader's state periodically and after each change.
+    async fn confirm_periodically(self) {
         loop {
             let known = self.leading.borrow().as_ref().map(|it| it.state.version);
             let read = self.read(known).await;
             let now = self.now();
-            self.take_read(now, read);
-            let _ = timeout(CONFIRM_EVERY, self.changed.notified()).await;
+            self.process_read(now, read);
+            let _ = timeout(CONFIRM_INTERVAL, self.state_changed.notified()).await;
         }
     }
 
-    /// Takes a confirmed state, or that there is none.
-    fn take_read(&self, now: Time, read: Result<Option<Box<ControlState>>, ControlReply>) {
+    /// Processes the result of a confirmed read: starts, refreshes or ends
+    /// leadership.
+    fn process_read(&self, now: Time, read: Result<Option<Box<ControlState>>, ControlReply>) {
         let mut leading = self.leading.borrow_mut();
         match (read, leading.as_mut()) {
             (Ok(state), Some(leads)) => {
                 leads.tick(now);
                 if leads.confirm(now, state.map(|state| *state)) {
-                    self.news.notify_waiters();
+                    self.updates.notify_waiters();
                 }
             }
             (Ok(Some(state)), None) => {
                 log::info!("event=control_leads version={}", state.version);
                 let run = rand::rng().next_u64() | 1;
                 *leading = Some(LeaderState::new(now, run, *state, self.losses));
-                self.news.notify_waiters();
+                self.updates.notify_waiters();
             }
             (Err(ControlReply::NotLeader(leader)), Some(_)) => {
                 log::warn!("event=control_follows leader={leader:?}");
                 *leading = None;
-                self.news.notify_waiters();
+                self.updates.notify_waiters();
             }
             (Ok(None), None) | (Err(_), _) => {}
         }
     }
 
-    /// Who leads, as far as this replica knows.
+    /// Reply that names the leader, if this replica knows it.
     async fn not_leader(&self) -> ControlReply {
         match self.read(None).await {
             Err(reply) => reply,
@@ -212,7 +220,7 @@
     // -----------------------------------------------------------------------
     // Requests
 
-    /// Answers a request, if this host leads.
+    /// Executes a request if this host leads.
     pub async fn serve(&self, req: ControlRequest) -> ControlReply {
         match req {
             ControlRequest::Follow(mark) => self.follow(&mark).await,
@@ -222,9 +230,12 @@
                     .leading
                     .borrow()
                     .as_ref()
-                    .map(|leads| leads.leaving_run(&name, run, Clock::wall_ms()));
+                    .map(|leads| leads.departing_run(&name, run, Clock::wall_ms()));
                 match found {
-                    Some(run) => self.done(ControlCommand::Depart(name, run)).await,
+                    Some(run) => {
+                        self.propose_and_ack(ControlCommand::Depart(name, run))
+                            .await
+                    }
                     None => self.not_leader().await,
                 }
             }
@@ -236,21 +247,23 @@
             ControlRequest::Join(member) => {
                 let now = self.now();
                 self.as_leader(|leads| {
-                    leads.join(now, member);
+                    leads.record_join_request(now, member);
                     ControlReply::Done
                 })
                 .await
             }
-            ControlRequest::Hello(hello) => {
+            ControlRequest::Hello(announcement) => {
                 let now = self.now();
-                self.as_leader(|leads| ControlReply::Stores(leads.hello(now, hello)))
-                    .await
+                self.as_leader(|leads| {
+                    ControlReply::Stores(leads.record_store_announcement(now, announcement))
+                })
+                .await
             }
             ControlRequest::Retire(host) => self.retire(host).await,
             ControlRequest::Retired(host) => {
                 self.as_leader(|leads| {
                     let stores = &leads.state.stores;
-                    if !leads.roster.knows(&host) && stores.member_on_host(&host).is_none() {
+                    if !leads.store_planner.knows(&host) && stores.member_on_host(&host).is_none() {
                         return ControlReply::Unknown;
                     }
                     let marked = stores.retiring.contains(&host);
@@ -262,7 +275,8 @@
         }
     }
 
-    /// Answers from what the leader holds, if this host leads.
+    /// Answers from the leader's state if this host leads and its state has been
+    /// confirmed recently.
     async fn as_leader(
         &self,
         answer: impl FnOnce(&mut LeaderState) -> ControlReply,
@@ -272,7 +286,7 @@
             .leading
             .borrow_mut()
             .as_mut()
-            .filter(|leads| leads.fresh(now))
+            .filter(|leads| leads.is_fresh(now))
             .map(answer);
         match reply {
             Some(reply) => reply,
@@ -280,15 +294,16 @@
         }
     }
 
-    /// Carries out a command whose outcome does not matter to the caller.
-    async fn done(&self, command: ControlCommand) -> ControlReply {
+    /// Replicates a command and replies `Done` whether or not it changed the
+    /// state.
+    async fn propose_and_ack(&self, command: ControlCommand) -> ControlReply {
         match self.propose(command).await {
             Ok(_) => ControlReply::Done,
             Err(reply) => reply,
         }
     }
 
-    /// Puts a table into force.
+    /// Activates a routing table if its revision is higher than the current one.
     async fn put_table(&self, table: TableText) -> ControlReply {
         let revision = table.revision;
         match self.propose(ControlCommand::PutTable(table)).await {
@@ -300,12 +315,14 @@
         }
     }
 
-    /// Takes an announcement; one that says the upstream leaves is answered
-    /// once that is durable.
+    /// Records an announcement of an upstream. If the upstream is leaving, its
+    /// departure is replicated before the reply.
     async fn announce(&self, announcement: Announcement) -> ControlReply {
         let departing = {
             let leading = self.leading.borrow();
-            leading.as_ref().map(|leads| leads.departing(&announcement))
+            leading
+                .as_ref()
+                .map(|leads| leads.departure_command(&announcement))
         };
         if let Some(Some(command)) = departing
             && let Err(reply) = self.propose(command).await
@@ -313,71 +330,75 @@
             return reply;
         }
         let now = self.now();
-        let news = Rc::clone(&self.news);
+        let updates = Rc::clone(&self.updates);
         self.as_leader(|leads| {
             leads.announce(now, announcement);
-            news.notify_waiters();
+            updates.notify_waiters();
             ControlReply::Done
         })
         .await
     }
 
-    /// Marks a store host as one to be emptied.
+    /// Marks a store host for removal; its data moves to another host.
     async fn retire(&self, host: Box<str>) -> ControlReply {
         let now = self.now();
-        let refused = self
+        let reply = self
             .as_leader(|leads| {
                 let stores = &leads.state.stores;
                 if stores.retiring.contains(&host) {
                     ControlReply::Done
-                } else if !leads.roster.knows(&host) && stores.member_on_host(&host).is_none() {
+                } else if !leads.store_planner.knows(&host)
+                    && stores.member_on_host(&host).is_none()
+                {
                     ControlReply::Unknown
-                } else if leads.roster.can_retire(now, stores, &host) {
+                } else if leads.store_planner.can_retire(now, stores, &host) {
                     ControlReply::Retired(false)
                 } else {
                     ControlReply::TooFew
                 }
             })
             .await;
-        match refused {
+        match reply {
             ControlReply::Retired(_) => {
-                self.done(ControlCommand::Stores(StoreChange::Retire(host)))
+                self.propose_and_ack(ControlCommand::Stores(StoreChange::Retire(host)))
                     .await
             }
             reply => reply,
         }
     }
 
-    /// Answers a follower once there is something that it does not know.
+    /// Long poll of a follower: answers when there is an update, or after
+    /// [`FOLLOW_POLL_TIMEOUT`].
     async fn follow(&self, mark: &Mark) -> ControlReply {
-        let ends = self.now() + FOLLOW_POLL_TIMEOUT;
+        let deadline = self.now() + FOLLOW_POLL_TIMEOUT;
         loop {
-            let rung = self.news.notified();
-            tokio::pin!(rung);
-            rung.as_mut().enable();
+            let notified = self.updates.notified();
+            tokio::pin!(notified);
+            notified.as_mut().enable();
             let now = self.now();
             if let Some(leads) = self.leading.borrow_mut().as_mut()
-                && leads.fresh(now)
+                && leads.is_fresh(now)
             {
-                if let Some(news) = leads.news(now, mark) {
+                if let Some(news) = leads.update_for(now, mark) {
                     return ControlReply::News(Box::new(news));
                 }
-                if now >= ends {
-                    return ControlReply::News(Box::new(leads.no_news(now, mark)));
+                if now >= deadline {
+                    return ControlReply::News(Box::new(leads.empty_update(now, mark)));
                 }
             } else {
                 break;
             }
-            let _ = timeout(ends.since(now), rung).await;
+            let _ = timeout(deadline.since(now), notified).await;
         }
         self.not_leader().await
     }
 
     // -----------------------------------------------------------------------
-    // Members
+    // Membership
 
-    /// Keeps the members of the group and of the stores as they should be.
-    async fn keep_members(self) {
+    /// Maintains the membership of the control group and the stores: asks to
+    /// join while this replica is no voter, and makes due changes while it leads.
+    async fn maintain_membership(self) {
         loop {
             let status = self.ask_group(GroupMsg::Status).await.flatten();
             if let Some(status) = status {
@@ -391,19 +412,19 @@
                     self.change_stores().await;
                 }
             }
-            sleep(MEMBERS_EVERY).await;
+            sleep(MEMBERSHIP_INTERVAL).await;
         }
     }
 
-    /// Asks the leader for membership.
+    /// Asks the leader to add this replica to the control group.
     async fn ask_to_join(&self) {
         let req = ControlRequest::Join(self.own.clone());
-        if self.client.ask(req, QUORUM_WAIT).await.is_none() {
+        if self.client.ask(req, QUORUM_TIMEOUT).await.is_none() {
             log::debug!("event=join_unanswered node={}", self.own.node);
         }
     }
 
-    /// Changes the members of the group if that is due.
+    /// Makes the next change of the control group's membership, if one is due.
     async fn change_members(&self, status: &Status) {
         let joining = {
             let mut leading = self.leading.borrow_mut();
@@ -411,7 +432,7 @@
                 return;
             };
             leads.members = status.members.clone();
-            leads.joining()
+            leads.join_requests()
         };
         let silent = if joining.is_empty() {
             Vec::new()
@@ -428,57 +449,66 @@
             return;
         };
         log::info!("event=members_change change={change:?}");
-        let done = self.change(change).await;
+        let done = self.propose_membership(change).await;
         if let Some(Err(err)) = done {
             log::info!("event=members_unchanged cause={err:?}");
         }
     }
 
-    async fn change(&self, change: MembershipChange) -> Option<Result<(), ChangeError>> {
+    async fn propose_membership(
+        &self,
+        change: MembershipChange,
+    ) -> Option<Result<(), ChangeError>> {
         self.ask_group(|reply| GroupMsg::Change { change, reply })
             .await
     }
 
-    /// Voters that have not answered for a while.
+    /// Voters that have not answered for at least [`VOTER_SILENCE_LIMIT`].
     async fn silent_voters(&self, status: &Status) -> Vec<NodeId> {
         let mut silent = Vec::new();
         for voter in &status.members.voters {
             if voter.node == self.own.node {
                 continue;
             }
-            let answers = self.answers(voter.addr).await;
+            let reachable = self.is_reachable(voter.addr).await;
             let now = self.now();
             let silence = self
                 .leading
                 .borrow_mut()
                 .as_mut()
-                .and_then(|leads| leads.answered(now, voter.node, answers));
-            if silence.is_some_and(|silence| silence >= VOTER_SILENT) {
+                .and_then(|leads| leads.record_voter_check(now, voter.node, reachable));
+            if silence.is_some_and(|silence| silence >= VOTER_SILENCE_LIMIT) {
                 silent.push(voter.node);
             }
         }
         silent
     }
 
-    /// Whether a control host answers at all.
-    async fn answers(&self, addr: SocketAddr) -> bool {
+    /// Whether a control host answers. Any reply counts: the request concerns a
+    /// store host that does not exist.
+    async fn is_reachable(&self, addr: SocketAddr) -> bool {
         let req = LinkRequest::Gateway(GatewayRequest::Control(ControlRequest::Retired(
             Box::default(),
         )));
-        let answer: Result<ControlReply, _> =
-            ask(&self.links, (addr, LinkRole::Ledger), &req, VOTER_ANSWER).await;
+        let answer: Result<ControlReply, _> = ask(
+            &self.links,
+            (addr, LinkRole::Ledger),
+            &req,
+            VOTER_CHECK_TIMEOUT,
+        )
+        .await;
         answer.is_ok()
     }
 
-    /// Changes the members of the stores if that is due.
+    /// Makes the next change of the stores' membership, if one is due.
     async fn change_stores(&self) {
         let now = self.now();
         let change = {
             let leading = self.leading.borrow();
             leading
                 .as_ref()
-                .filter(|leads| leads.fresh(now))
-                .and_then(|leads| leads.roster.next_change(now, &leads.state.stores))
+                .filter(|leads| leads.is_fresh(now))
+                .and_then(|leads| leads.store_planner.next_change(now, &leads.state.stores))
         };
         if let Some(change) = change {
             log::info!("event=stores_change change={change:?}");
--- a/crates/sapphirequayd/src/gateway/control/leader_state.rs
+++ b/crates/sapphirequayd/src/gateway/control/leader_state.rs
@@ -1,4 +1,4 @@
-//! What the leader of the control group holds beside the replicated state.
+//! State of the control group's leader that is not replicated.
 
 use {
     super::state::ControlState,
@@ -16,52 +16,55 @@
     },
 };
 
-/// Age up to which a confirmed state is told to followers.
-const FRESH: Duration = Duration::from_millis(600);
+/// Maximum age of a confirmed state that is served to followers.
+const MAX_STATE_AGE: Duration = Duration::from_millis(600);
 
-/// How long a request to join counts.
-const JOIN_COUNTS: Duration = Duration::from_secs(2);
+/// Time after which a request to join expires.
+const JOIN_REQUEST_TTL: Duration = Duration::from_secs(2);
 
-/// How long a follower that does not ask any more is told to others: several of
-/// its questions, which come every 0.4 s at the least.
-const FOLLOWER_COUNTS: Duration = Duration::from_secs(3);
+/// Time after its latest poll for which a follower is listed to other
+/// followers: several poll intervals, which are at most 0.4 s.
+const FOLLOWER_TTL: Duration = Duration::from_secs(3);
 
-/// Other followers that one is told of: two may be lost, and one cut off too.
-const FOLLOWERS_TOLD: usize = 4;
+/// Number of other followers that are listed to each follower: two may be lost
+/// and another one be cut off.
+const LISTED_FOLLOWERS: usize = 4;
 
-/// Soft state of the leader; a new leader starts with an empty one.
+/// State of the leader, with a confirmed copy of the replicated state. The rest
+/// is soft state, which a new leader rebuilds from heartbeats and polls.
 #[derive(Debug)]
 pub struct LeaderState {
-    /// Replicated state as a quorum has confirmed it last.
+    /// Replicated state that a quorum confirmed last.
     pub state: ControlState,
-    /// When it was confirmed.
+    /// Time of that confirmation.
     confirmed: Time,
     directory: Directory,
     /// Latest announcement of each upstream.
     announced: IndexMap<UpstreamId, Announcement>,
-    /// Which store hosts have been heard.
-    pub roster: MembershipPlanner,
-    /// Replicas that ask to join.
-    joins: IndexMap<NodeId, (Member, Time)>,
-    /// Since when voters do not answer.
-    silent: IndexMap<NodeId, Time>,
-    /// Members of the group.
+    /// Plans the membership of the stores from the announcements of store hosts.
+    pub store_planner: MembershipPlanner,
+    /// Replicas that ask to join, with the time of the latest request.
+    join_requests: IndexMap<NodeId, (Member, Time)>,
+    /// Time since which each silent voter has not answered.
+    silent_voters: IndexMap<NodeId, Time>,
+    /// Members of the control group.
     pub members: Membership,
-    /// When followers asked last, by their links.
+    /// Time of each follower's latest poll, by the address of its link.
     followers: BTreeMap<SocketAddr, Time>,
 }
 
 impl LeaderState {
-    /// The leader from now on; `run` must differ from that of earlier leaders.
+    /// Creates the state of a new leader. `run` must differ from that of earlier
+    /// leaders.
     pub fn new(now: Time, run: u64, state: ControlState, losses: usize) -> Self {
         let members = MembersSettings {
-            // Workers of the deployments' tables say they live every 1.2 s, at
-            // times seconds late.
+            // Upstreams in the deployments send heartbeats every 1.2 s, sometimes
+            // several seconds late.
             heartbeat: Duration::from_millis(1_200),
             lease: Duration::from_secs(8),
             ..MembersSettings::default()
         };
-        let roster = MembershipSettings {
+        let store_settings = MembershipSettings {
             members: 2 * losses + 1,
             ..MembershipSettings::default()
         };
@@ -70,15 +73,16 @@
             confirmed: now,
             directory: Directory::new(now, run, members),
             announced: IndexMap::new(),
-            roster: MembershipPlanner::new(roster, now),
-            joins: IndexMap::new(),
-            silent: IndexMap::new(),
+            store_planner: MembershipPlanner::new(store_settings, now),
+            join_requests: IndexMap::new(),
+            silent_voters: IndexMap::new(),
             members: Membership::default(),
             followers: BTreeMap::new(),
         }
     }
 
-    /// Takes that a quorum has confirmed the state, or a newer one.
+    /// Records that a quorum confirmed the state, or a newer one. Returns whether
+    /// the state changed.
     pub fn confirm(&mut self, now: Time, newer: Option<ControlState>) -> bool {
         self.confirmed = now;
         let changed = newer.is_some();
@@ -89,26 +93,28 @@
         changed
     }
 
-    /// Whether followers may be told what is held.
-    pub fn fresh(&self, now: Time) -> bool {
-        now.since(self.confirmed) < FRESH
+    /// Whether the state was confirmed recently enough to be served.
+    pub fn is_fresh(&self, now: Time) -> bool {
+        now.since(self.confirmed) < MAX_STATE_AGE
     }
 
-    /// Drops upstreams that have fallen silent.
+    /// Expires upstreams without heartbeats, requests to join, and followers that
+    /// no longer poll.
     pub fn tick(&mut self, now: Time) {
         self.directory.tick(now);
-        self.joins
-            .retain(|_, (_, heard)| now.since(*heard) < JOIN_COUNTS);
+        self.join_requests
+            .retain(|_, (_, heard)| now.since(*heard) < JOIN_REQUEST_TTL);
         self.followers
-            .retain(|_, heard| now.since(*heard) < FOLLOWER_COUNTS);
+            .retain(|_, heard| now.since(*heard) < FOLLOWER_TTL);
     }
 
     // -----------------------------------------------------------------------
     // Upstreams
 
-    /// The run of an upstream that gets no new work according to an
-    /// announcement, unless that is known.
-    pub fn departing(&self, announcement: &Announcement) -> Option<ControlCommand> {
+    /// Command that records the departure of an upstream, if the announcement
+    /// says that this run leaves and no departure of this or a later run is
+    /// recorded.
+    pub fn departure_command(&self, announcement: &Announcement) -> Option<ControlCommand> {
         let leaves = announcement.state != UpstreamState::Serving;
         let known = self.state.departures.get(&announcement.name);
         let run = announcement.incarnation;
@@ -116,25 +122,33 @@
             .then(|| ControlCommand::Depart(announcement.name.clone(), run))
     }
 
-    /// The run that an upstream ends when it leaves without saying which.
-    pub fn leaving_run(&self, name: &str, named: Option<Incarnation>, wall_ms: u64) -> Incarnation {
+    /// Run that a leaving upstream ends: the named run, else the latest announced
+    /// one, else one numbered `wall_ms`, the Unix time in milliseconds.
+    pub fn departing_run(
+        &self,
+        name: &str,
+        named: Option<Incarnation>,
+        wall_ms: u64,
+    ) -> Incarnation {
         let announced = self.announced.get(&UpstreamId::of(name));
         named
             .or(announced.map(|it| it.incarnation))
-            // Runs are numbered by the Unix millisecond of their start.
+            // Runs are numbered by their start as Unix time in milliseconds.
             .unwrap_or(Incarnation(wall_ms))
     }
 
-    /// Takes an announcement.
+    /// Records an announcement, unless it is older than the latest one of the
+    /// upstream. An announcement in which only the sequence number changed is
+    /// processed as a heartbeat.
     pub fn announce(&mut self, now: Time, announcement: Announcement) {
         let id = announcement.upstream();
         let known = self.announced.get(&id);
-        let same = known.is_some_and(|known| {
-            let bare = Announcement {
+        let unchanged = known.is_some_and(|known| {
+            let with_sequence = Announcement {
                 sequence: announcement.sequence,
                 ..known.clone()
             };
-            bare == announcement
+            with_sequence == announcement
         });
         let older = known.is_some_and(|known| {
             let order = |of: &Announcement| (of.incarnation, of.sequence);
@@ -151,7 +165,7 @@
             state: announcement.state,
             load: announcement.load,
         };
-        let heard = same && self.directory.heartbeat(now, &heartbeat) != MembersReply::Unknown;
+        let heard = unchanged && self.directory.heartbeat(now, &heartbeat) != MembersReply::Unknown;
         if !heard {
             log::info!(
                 "event=upstream_announced upstream={} run={} addr={} state={:?}",
@@ -166,7 +180,7 @@
         self.mark_departed(now);
     }
 
-    /// Marks the upstreams whose run is known to get no new work.
+    /// Marks the upstreams whose run has departed as draining in the directory.
     fn mark_departed(&mut self, now: Time) {
         let departed = self.announced.iter().filter(|(_, it)| {
             let run = self.state.departures.get(&it.name);
@@ -179,8 +193,8 @@
     // -----------------------------------------------------------------------
     // Followers
 
-    /// What a follower does not know yet; `None` if there is nothing.
-    pub fn news(&mut self, now: Time, mark: &Mark) -> Option<News> {
+    /// Update for a follower whose state is `mark`; `None` if it is up to date.
+    pub fn update_for(&mut self, now: Time, mark: &Mark) -> Option<News> {
         self.followers.insert(mark.link, now);
         let directory = self.directory.changes(now, &mark.directory);
         let held = self.state.table.as_ref();
@@ -196,69 +210,80 @@
             table,
             stores,
             directory,
-            controls: self.controls(),
-            followers: self.followers_beside(mark.link),
+            controls: self.control_links(),
+            followers: self.neighbours_of(mark.link),
         })
     }
 
-    /// News without anything new, which tell that the leader lives.
-    pub fn no_news(&mut self, now: Time, mark: &Mark) -> News {
+    /// Update without table and stores, which shows a follower that the leader is
+    /// alive.
+    pub fn empty_update(&mut self, now: Time, mark: &Mark) -> News {
         News {
             version: self.state.version,
             table: None,
             stores: None,
             directory: self.directory.changes(now, &mark.directory),
-            controls: self.controls(),
-            followers: self.followers_beside(mark.link),
+            controls: self.control_links(),
+            followers: self.neighbours_of(mark.link),
         }
     }
 
-    /// The followers that come after one in the order of their links, so that
-    /// each is known to a few others however many there are.
-    fn followers_beside(&self, link: SocketAddr) -> Vec<SocketAddr> {
+    /// The followers after `link` in the cyclic order of their addresses, so that
+    /// each follower is listed to a few others, however many there are.
+    fn neighbours_of(&self, link: SocketAddr) -> Vec<SocketAddr> {
         let after = self.followers.range((Excluded(link), Unbounded));
         let before = self.followers.range(..link);
-        let beside = after.chain(before).map(|(other, _)| *other);
-        beside.take(FOLLOWERS_TOLD).collect()
+        let neighbours = after.chain(before).map(|(other, _)| *other);
+        neighbours.take(LISTED_FOLLOWERS).collect()
     }
 
-    /// Links of all control hosts.
-    fn controls(&self) -> Vec<SocketAddr> {
+    /// Addresses of the links of all control hosts.
+    fn control_links(&self) -> Vec<SocketAddr> {
         self.members.all().map(|member| member.addr).collect()
     }
 
     // -----------------------------------------------------------------------
-    // Members and stores
+    // Membership
 
-    /// Takes that a replica wants to join.
-    pub fn join(&mut self, now: Time, member: Member) {
-        self.joins.insert(member.node, (member, now));
+    /// Records a replica's request to join.
+    pub fn record_join_request(&mut self, now: Time, member: Member) {
+        self.join_requests.insert(member.node, (member, now));
     }
 
-    /// Replicas that want to join.
-    pub fn joining(&self) -> Vec<Member> {
-        let joins = self.joins.values();
-        joins.map(|(member, _)| member.clone()).collect()
+    /// Replicas with a current request to join.
+    pub fn join_requests(&self) -> Vec<Member> {
+        let join_requests = self.join_requests.values();
+        join_requests.map(|(member, _)| member.clone()).collect()
     }
 
-    /// Notes whether a voter answers; tells since when it does not.
-    pub fn answered(&mut self, now: Time, node: NodeId, answers: bool) -> Option<Duration> {
-        if answers {
-            self.silent.shift_remove(&node);
+    /// Records whether a voter answered a check. Returns the time for which it
+    /// has been silent; `None` if it answered.
+    pub fn record_voter_check(
+        &mut self,
+        now: Time,
+        node: NodeId,
+        reachable: bool,
+    ) -> Option<Duration> {
+        if reachable {
+            self.silent_voters.shift_remove(&node);
             return None;
         }
-        let since = *self.silent.entry(node).or_insert(now);
+        let since = *self.silent_voters.entry(node).or_insert(now);
         Some(now.since(since))
     }
 
-    /// Takes what a store host says.
-    pub fn hello(&mut self, now: Time, hello: StoreAnnouncement) -> StoreView {
-        self.roster.record_announcement(now, hello);
+    /// Records an announcement of a store host and returns the current view.
+    pub fn record_store_announcement(
+        &mut self,
+        now: Time,
+        announcement: StoreAnnouncement,
+    ) -> StoreView {
+        self.store_planner.record_announcement(now, announcement);
         self.state.stores.clone()
     }
 }
 
-/// Whether changes tell nothing.
+/// Whether `changes` has no content.
 fn is_empty(changes: &Changes) -> bool {
     !changes.reset
         && changes.full.is_empty()
--- a/crates/sapphirequayd/src/gateway/control/membership.rs
+++ b/crates/sapphirequayd/src/gateway/control/membership.rs
@@ -1,55 +1,55 @@
-//! Which replicas belong to the control group.
+//! Decides on changes of the control group's membership.
 
 use {
     quay_quorum::{Member, Membership, MembershipChange},
     quay_types::NodeId,
 };
 
-/// What the leader knows when it decides on members.
+/// Inputs of [`next_membership_change`].
 #[derive(Debug)]
 pub struct MembershipInputs<'a> {
-    /// Members now.
+    /// Current members.
     pub members: &'a Membership,
-    /// Replicas that ask to join, and still do.
+    /// Replicas with a current request to join.
     pub joining: &'a [Member],
-    /// Voters that have not answered for a while.
+    /// Voters that have not answered within the silence limit.
     pub silent: &'a [NodeId],
-    /// Voters that the group should have.
+    /// Target number of voters.
     pub voters: usize,
 }
 
-/// The next change of members, if one is due.
+/// Returns the next membership change, if one is due.
 ///
-/// A newcomer is a learner first. One that comes back at a member's address
-/// has lost its disk and takes that member's place; any other takes the place
-/// of a silent voter, or a free one.
+/// A joining replica becomes a learner first. A replica at the address of a
+/// voter has lost its disk and replaces that voter. Any other replica replaces
+/// a silent voter, or fills a vacancy.
 #[must_use]
-pub fn next_membership_change(view: &MembershipInputs<'_>) -> Option<MembershipChange> {
-    let members = view.members;
+pub fn next_membership_change(inputs: &MembershipInputs<'_>) -> Option<MembershipChange> {
+    let members = inputs.members;
     if let Some(learner) = members.learners.first() {
-        let joins = view.joining.iter().any(|it| it.node == learner.node);
-        if !joins {
+        let still_joining = inputs.joining.iter().any(|it| it.node == learner.node);
+        if !still_joining {
             return Some(MembershipChange::Remove(learner.node));
         }
-        let replaced = members.voters.iter().find(|it| it.addr == learner.addr);
-        let full = members.voters.len() >= view.voters;
-        let silent = || {
+        let same_addr = members.voters.iter().find(|it| it.addr == learner.addr);
+        let full = members.voters.len() >= inputs.voters;
+        let silent_voter = || {
             members
                 .voters
                 .iter()
-                .find(|it| view.silent.contains(&it.node))
+                .find(|it| inputs.silent.contains(&it.node))
         };
-        let out = replaced.or_else(|| full.then(silent).flatten());
-        return Some(match out {
-            Some(out) if members.voters.len() > 1 => MembershipChange::Remove(out.node),
+        let leaving = same_addr.or_else(|| full.then(silent_voter).flatten());
+        return Some(match leaving {
+            Some(leaving) if members.voters.len() > 1 => MembershipChange::Remove(leaving.node),
             _ => MembershipChange::Promote(learner.node),
         });
     }
-    let newcomer = view.joining.iter().find(|it| {
-        let member = members.get(it.node).is_some();
+    let candidate = inputs.joining.iter().find(|it| {
+        let is_member = members.get(it.node).is_some();
         let replaces = members.voters.iter().any(|voter| voter.addr == it.addr);
-        let room = members.voters.len() < view.voters || !view.silent.is_empty();
-        !member && (replaces || room)
+        let vacancy = members.voters.len() < inputs.voters || !inputs.silent.is_empty();
+        !is_member && (replaces || vacancy)
     })?;
-    Some(MembershipChange::AddLearner(newcomer.clone()))
+    Some(MembershipChange::AddLearner(candidate.clone()))
 }
--- a/crates/sapphirequayd/src/gateway/control/mod.rs
+++ b/crates/sapphirequayd/src/gateway/control/mod.rs
@@ -1,5 +1,5 @@
-//! The control role: routing table, directory of upstreams, members of the
-//! stores.
+//! The control role: holds the routing table, the directory of upstreams and
+//! the membership of the stores.
 
 mod api;
 mod host;
--- a/crates/sapphirequayd/src/gateway/control/state.rs
+++ b/crates/sapphirequayd/src/gateway/control/state.rs
@@ -1,4 +1,4 @@
-//! What the control group replicates.
+//! State machine that the control group replicates.
 
 use {
     crate::gateway::messages::{ControlCommand, TableText},
@@ -9,24 +9,25 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Departures that are remembered; the oldest are dropped.
+/// Maximum number of recorded departures; the oldest are dropped first.
 const MAX_DEPARTURES: usize = 1_024;
 
 /// Replicated state of the control group.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlState {
-    /// Rises with each change.
+    /// Incremented with each change.
     pub version: u64,
-    /// The routing table in force.
+    /// Current routing table.
     pub table: Option<TableText>,
-    /// Upstreams that get no new work, with their latest run of which this holds.
+    /// Upstreams that receive no new work, by name, with the latest run to which
+    /// this applies.
     pub departures: IndexMap<Box<str>, Incarnation>,
-    /// Who keeps turns and charges.
+    /// Store hosts that hold turns and charges.
     pub stores: StoreView,
 }
 
 impl ControlState {
-    /// Puts a table into force unless one with its revision or a higher one is.
+    /// Replaces the routing table if `table` has a higher revision.
     fn put_table(&mut self, table: TableText) -> bool {
         let held = self.table.as_ref().map_or(0, |held| held.revision);
         let newer = self.table.is_none() || table.revision > held;
@@ -36,7 +37,8 @@
         newer
     }
 
-    /// Notes that a run of an upstream and all before it get no new work.
+    /// Records that a run of an upstream and all earlier ones receive no new
+    /// work.
     fn depart(&mut self, name: Box<str>, run: Incarnation) -> bool {
         let held = self.departures.get(&name).copied();
         if held >= Some(run) {
@@ -51,7 +53,8 @@
     }
 }
 
-/// Asks for the state unless its version is known.
+/// Query for the state; the answer is `None` if the version equals the known
+/// one.
 #[derive(Debug, Clone, Copy)]
 pub struct IfChangedSince(pub Option<u64>);
 
