--- a/crates/sapphirequayd/src/gateway/control/api.rs
+++ b/crates/sapphirequayd/src/gateway/control/api.rs
@@ -4,7 +4,7 @@
     super::ControlHost,
     crate::gateway::{
         http_server::{self, Body, full},
-        messages::{ControlReply, ControlRequest, TableText},
+        messages::{ControlReply, ControlRequest, TableDocument},
     },
     bytes::Bytes,
     http::{Request, Response, StatusCode},
@@ -91,7 +91,7 @@
     };
     let reply = match host.serve(req.clone()).await {
         ControlReply::NotLeader(_) | ControlReply::Unavailable => {
-            host.client.ask(req, LEADER_TIMEOUT).await
+            host.client.request(req, LEADER_TIMEOUT).await
         }
         reply => Some(reply),
     };
@@ -112,12 +112,12 @@
 }
 
 /// Parses and validates a routing table.
-fn parse_table_text(dialect: &impl Dialect, document: &Bytes) -> Result<TableText, Box<str>> {
+fn parse_table_text(dialect: &impl Dialect, document: &Bytes) -> Result<TableDocument, Box<str>> {
     let table = dialect
         .parse_table(document)
         .map_err(|fault| fault.to_string())?;
     table.check().map_err(|fault| fault.to_string())?;
-    Ok(TableText {
+    Ok(TableDocument {
         revision: table.revision,
         document: document[..].into(),
     })
--- a/crates/sapphirequayd/src/gateway/control/host.rs
+++ b/crates/sapphirequayd/src/gateway/control/host.rs
@@ -10,9 +10,10 @@
     },
     crate::{
         gateway::{
-            control_client::{ControlClient, ask},
+            control_client::{ControlClient, exchange},
             messages::{
-                ControlCommand, ControlReply, ControlRequest, GatewayRequest, Mark, TableText,
+                ControlCommand, ControlReply, ControlRequest, FollowerState, GatewayRequest,
+                TableDocument,
             },
             meters,
         },
@@ -252,7 +253,7 @@
                 })
                 .await
             }
-            ControlRequest::Hello(announcement) => {
+            ControlRequest::AnnounceStore(announcement) => {
                 let now = self.now();
                 self.as_leader(|leads| {
                     ControlReply::Stores(leads.record_store_announcement(now, announcement))
@@ -304,7 +305,7 @@
     }
 
     /// Activates a routing table if its revision is higher than the current one.
-    async fn put_table(&self, table: TableText) -> ControlReply {
+    async fn put_table(&self, table: TableDocument) -> ControlReply {
         let revision = table.revision;
         match self.propose(ControlCommand::PutTable(table)).await {
             Ok(changed) => {
@@ -369,7 +370,7 @@
 
     /// Long poll of a follower: answers when there is an update, or after
     /// [`FOLLOW_POLL_TIMEOUT`].
-    async fn follow(&self, mark: &Mark) -> ControlReply {
+    async fn follow(&self, mark: &FollowerState) -> ControlReply {
         let deadline = self.now() + FOLLOW_POLL_TIMEOUT;
         loop {
             let notified = self.updates.notified();
@@ -380,10 +381,10 @@
                 && leads.is_fresh(now)
             {
                 if let Some(news) = leads.update_for(now, mark) {
-                    return ControlReply::News(Box::new(news));
+                    return ControlReply::Update(Box::new(news));
                 }
                 if now >= deadline {
-                    return ControlReply::News(Box::new(leads.empty_update(now, mark)));
+                    return ControlReply::Update(Box::new(leads.empty_update(now, mark)));
                 }
             } else {
                 break;
@@ -402,9 +403,9 @@
         loop {
             let status = self.ask_group(GroupMsg::Status).await.flatten();
             if let Some(status) = status {
-                meters::leads(status.leads);
+                meters::set_leader(status.leads);
                 self.client
-                    .learn(status.members.all().map(|it| it.addr).collect());
+                    .set_hosts(status.members.all().map(|it| it.addr).collect());
                 if !status.members.is_voter(self.own.node) {
                     self.ask_to_join().await;
                 } else if status.leads {
@@ -419,7 +420,7 @@
     /// Asks the leader to add this replica to the control group.
     async fn ask_to_join(&self) {
         let req = ControlRequest::Join(self.own.clone());
-        if self.client.ask(req, QUORUM_TIMEOUT).await.is_none() {
+        if self.client.request(req, QUORUM_TIMEOUT).await.is_none() {
             log::debug!("event=join_unanswered node={}", self.own.node);
         }
     }
@@ -490,7 +491,7 @@
         let req = LinkRequest::Gateway(GatewayRequest::Control(ControlRequest::Retired(
             Box::default(),
         )));
-        let answer: Result<ControlReply, _> = ask(
+        let answer: Result<ControlReply, _> = exchange(
             &self.links,
             (addr, LinkRole::Ledger),
             &req,
--- a/crates/sapphirequayd/src/gateway/control/state.rs
+++ b/crates/sapphirequayd/src/gateway/control/state.rs
@@ -1,7 +1,7 @@
 //! State machine that the control group replicates.
 
 use {
-    crate::gateway::messages::{ControlCommand, TableText},
+    crate::gateway::messages::{ControlCommand, TableDocument},
     indexmap::IndexMap,
     quay_quorum::StateMachine,
     quay_turns::StoreView,
@@ -18,7 +18,7 @@
     /// Incremented with each change.
     pub version: u64,
     /// Current routing table.
-    pub table: Option<TableText>,
+    pub table: Option<TableDocument>,
     /// Upstreams that receive no new work, by name, with the latest run to which
     /// this applies.
     pub departures: IndexMap<Box<str>, Incarnation>,
@@ -28,7 +28,7 @@
 
 impl ControlState {
     /// Replaces the routing table if `table` has a higher revision.
-    fn put_table(&mut self, table: TableText) -> bool {
+    fn put_table(&mut self, table: TableDocument) -> bool {
         let held = self.table.as_ref().map_or(0, |held| held.revision);
         let newer = self.table.is_none() || table.revision > held;
         if newer {
--- a/crates/sapphirequayd/src/gateway/control_client.rs
+++ b/crates/sapphirequayd/src/gateway/control_client.rs
@@ -30,17 +30,17 @@
 const MAX_HOPS: usize = 6;
 
 /// Asks the process at an address, which plays a role, and waits for its answer.
-pub async fn ask<T: DeserializeOwned>(
+pub async fn exchange<T: DeserializeOwned>(
     links: &Links,
     (addr, role): (SocketAddr, LinkRole),
     req: &impl Serialize,
     within: Duration,
 ) -> Result<T, LinkError> {
-    let exchange = async {
+    let roundtrip = async {
         let mut stream: LinkStream = links.open_from_task(addr, role, req).await?;
         stream.recv_in_task().await
     };
-    let answer = timeout(within, exchange).await;
+    let answer = timeout(within, roundtrip).await;
     answer.unwrap_or(Err(LinkError::Silent))
 }
 
@@ -85,7 +85,7 @@
     }
 
     /// Learns the links of all control hosts.
-    pub fn learn(&self, hosts: Vec<SocketAddr>) {
+    pub fn set_hosts(&self, hosts: Vec<SocketAddr>) {
         if !hosts.is_empty() {
             *self.shared.hosts.borrow_mut() = hosts;
         }
@@ -111,9 +111,12 @@
     /// Asks the leader within a time; `None` if it was not reached.
     ///
     /// The request may have been carried out all the same.
-    pub async fn ask(&self, req: ControlRequest, within: Duration) -> Option<ControlReply> {
+    pub async fn request(&self, req: ControlRequest, within: Duration) -> Option<ControlReply> {
         let req = LinkRequest::Gateway(GatewayRequest::Control(req));
-        let reply = timeout(within, self.ask_hosts(&req)).await.ok().flatten();
+        let reply = timeout(within, self.request_leader(&req))
+            .await
+            .ok()
+            .flatten();
         if self.shared.reached.replace(reply.is_some()) != reply.is_some() {
             match &reply {
                 Some(_) => log::info!(
@@ -126,7 +129,7 @@
         reply
     }
 
-    async fn ask_hosts(&self, req: &LinkRequest) -> Option<ControlReply> {
+    async fn request_leader(&self, req: &LinkRequest) -> Option<ControlReply> {
         for _ in 0..MAX_HOPS {
             let addr = self.candidate()?;
             let wait = match req {
@@ -135,7 +138,7 @@
                 }
                 _ => ONE_HOST,
             };
-            match ask(&self.links, (addr, LinkRole::Ledger), req, wait).await {
+            match exchange(&self.links, (addr, LinkRole::Ledger), req, wait).await {
                 Ok(ControlReply::NotLeader(leader)) => {
                     let leader = leader.filter(|leader| *leader != addr);
                     self.shared.leader.set(leader);
--- a/crates/sapphirequayd/src/gateway/front/call.rs
+++ b/crates/sapphirequayd/src/gateway/front/call.rs
@@ -163,7 +163,7 @@
     let mut response = match answered {
         Ok(response) => {
             let status = response.status().as_u16();
-            meters::answered(status, took);
+            meters::record_call(status, took);
             log::info!("event=call_answered id={} status={status} ms={ms}", head.id);
             response
         }
@@ -174,8 +174,8 @@
                 refusal.name(),
                 refusal.status()
             );
-            meters::answered(refusal.status(), took);
-            meters::refused(refusal.name());
+            meters::record_call(refusal.status(), took);
+            meters::record_refusal(refusal.name());
             let mut response = refusal.answer(draw);
             front
                 .dialect()
@@ -365,8 +365,8 @@
                 Tried::Answer(sent, head, incoming) => {
                     let first = sent.elapsed();
                     let sent_after = sent.since.since(self.arrived);
-                    meters::stage(Stage::Wait, sent_after);
-                    meters::stage(Stage::First, first);
+                    meters::record_stage(Stage::Wait, sent_after);
+                    meters::record_stage(Stage::First, first);
                     let passing = Passing {
                         front: self.front.clone(),
                         sent: *sent,
@@ -393,7 +393,7 @@
                 Tried::Unknown(why) => {
                     attempts += 1;
                     log::info!("event=attempt_lost id={} cause={why}", self.head.id);
-                    meters::attempt_lost(why);
+                    meters::record_lost_attempt(why);
                     let idempotent = self.route.repeat == RepeatPolicy::Idempotent;
                     let time_over = self.allowance.remaining(self.front.now()).is_zero();
                     if time_over {
--- a/crates/sapphirequayd/src/gateway/front/chains.rs
+++ b/crates/sapphirequayd/src/gateway/front/conversation_cache.rs
@@ -19,14 +19,14 @@
 
 /// Conversations up to a turn; those used longest ago are dropped first.
 #[derive(Debug)]
-pub struct Chains {
+pub struct ConversationCache {
     max_bytes: usize,
     bytes: usize,
     /// In the order of their last use.
     held: IndexMap<TurnId, Held>,
 }
 
-impl Chains {
+impl ConversationCache {
     /// A cache of at most `max_bytes`.
     #[must_use]
     pub fn new(max_bytes: usize) -> Self {
--- a/crates/sapphirequayd/src/gateway/front/events.rs
+++ b/crates/sapphirequayd/src/gateway/front/events.rs
@@ -87,7 +87,7 @@
 
     /// Data of the events that have passed, each followed by a line feed.
     #[must_use]
-    pub fn into_kept(self) -> Vec<u8> {
+    pub fn into_data(self) -> Vec<u8> {
         self.kept
     }
 }
--- a/crates/sapphirequayd/src/gateway/front/host.rs
+++ b/crates/sapphirequayd/src/gateway/front/host.rs
@@ -2,13 +2,14 @@
 
 use {
     super::{
-        call, chains::Chains, connections::Connections, starting::Starting, upstreams::Upstreams,
+        call, connections::Connections, conversation_cache::ConversationCache,
+        startup_wait::StartupWait, upstreams::Upstreams,
     },
     crate::{
         gateway::{
             control_client::ControlClient,
             http_server::{self, Body, ServerLimits, full},
-            messages::{ControlReply, ControlRequest, Mark, News},
+            messages::{ControlReply, ControlRequest, ControlUpdate, FollowerState},
             meters,
             store::StoreClient,
         },
@@ -80,10 +81,10 @@
     stores: StoreClient,
     upstreams: RefCell<Upstreams>,
     connections: Connections,
-    chains: RefCell<Chains>,
+    chains: RefCell<ConversationCache>,
     table: RefCell<Option<Rc<RoutingTable>>>,
     limits: ServerLimits,
-    starting: Starting,
+    startup: StartupWait,
     /// When the control group was heard last.
     heard: Cell<Option<Time>>,
     draining: Cell<bool>,
@@ -111,10 +112,10 @@
             stores,
             upstreams: RefCell::new(Upstreams::new(data_centre)),
             connections: Connections::default(),
-            chains: RefCell::new(Chains::new(chain_cache_bytes)),
+            chains: RefCell::new(ConversationCache::new(chain_cache_bytes)),
             table: RefCell::default(),
             limits: ServerLimits::default(),
-            starting: Starting::new(clock.now(), STARTING),
+            startup: StartupWait::new(clock.now(), STARTING),
             heard: Cell::default(),
             draining: Cell::default(),
             reader: rand::rng().next_u64(),
@@ -187,14 +188,14 @@
 
     /// The routing table; one that has just started waits for it.
     pub async fn table_soon(&self, ends: Time) -> Option<Rc<RoutingTable>> {
-        let starting = &self.0.starting;
-        starting.soon(ends, || self.now(), || self.table()).await
+        let startup = &self.0.startup;
+        startup.wait_for(ends, || self.now(), || self.table()).await
     }
 
     /// Waits, if the front has just started, until it knows who serves a service.
     pub async fn served_soon(&self, service: &str, ends: Time) {
         let look = || self.upstreams().serves(service).then_some(());
-        self.0.starting.soon(ends, || self.now(), look).await;
+        self.0.startup.wait_for(ends, || self.now(), look).await;
     }
 
     /// Whether the control group has been heard so lately that no change can
@@ -246,17 +247,17 @@
             let asked = self
                 .0
                 .control
-                .ask(ControlRequest::Follow(mark), NEWS_WITHIN)
+                .request(ControlRequest::Follow(mark), NEWS_WITHIN)
                 .await;
             match asked {
-                Some(ControlReply::News(news)) => self.learn(*news),
+                Some(ControlReply::Update(news)) => self.learn(*news),
                 _ => sleep(AGAIN_AFTER).await,
             }
         }
     }
 
-    fn mark(&self) -> Mark {
-        Mark {
+    fn mark(&self) -> FollowerState {
+        FollowerState {
             revision: self.table().map_or(0, |table| table.revision),
             stores: self.0.stores.view_version(),
             directory: self.upstreams().ask(self.0.reader),
@@ -264,10 +265,10 @@
         }
     }
 
-    fn learn(&self, news: News) {
+    fn learn(&self, news: ControlUpdate) {
         let now = self.now();
         self.0.heard.set(Some(now));
-        self.0.control.learn(news.controls);
+        self.0.control.set_hosts(news.controls);
         self.0.stores.set_peer_fronts(news.followers);
         if let Some(stores) = news.stores {
             self.0.stores.set_view(stores);
@@ -276,7 +277,7 @@
         if let Some(text) = news.table {
             self.learn_table(&text.document);
         }
-        self.0.starting.learned();
+        self.0.startup.notify();
     }
 
     fn learn_table(&self, document: &[u8]) {
@@ -311,7 +312,7 @@
             self.0.chains.borrow_mut().tick(now);
             self.0.connections.close_idle();
             let heard = self.0.heard.get();
-            meters::front(
+            meters::set_front(
                 self.0.limits.closing.open(),
                 heard.map(|at| now.since(at)),
                 self.table().map_or(0, |table| table.revision),
--- a/crates/sapphirequayd/src/gateway/front/mod.rs
+++ b/crates/sapphirequayd/src/gateway/front/mod.rs
@@ -1,21 +1,21 @@
 //! The front role: takes callers' requests and passes them on to upstreams.
 
 mod call;
-mod chains;
 mod connections;
+mod conversation_cache;
 mod events;
 mod host;
 mod refusal;
 mod reservation;
-mod starting;
+mod startup_wait;
 mod stream;
+mod upstream_outcome;
 mod upstreams;
-mod verdict;
 
 pub use {
-    chains::Chains,
+    conversation_cache::ConversationCache,
     events::EventReader,
     host::FrontHost,
-    starting::Starting,
-    verdict::{StreamEnd, UPSTREAM_BROKE_OFF, Verdict, verdict},
+    startup_wait::StartupWait,
+    upstream_outcome::{StreamEnd, UPSTREAM_DISCONNECTED, UpstreamOutcome, upstream_outcome},
 };
--- a/crates/sapphirequayd/src/gateway/front/starting.rs
+++ b/crates/sapphirequayd/src/gateway/front/startup_wait.rs
@@ -13,13 +13,13 @@
 
 /// The first moments of a front.
 #[derive(Debug)]
-pub struct Starting {
+pub struct StartupWait {
     /// When they are over.
     ends: Time,
     learned: Notify,
 }
 
-impl Starting {
+impl StartupWait {
     /// A front that starts at `now` and may take `span` until it knows all.
     #[must_use]
     pub fn new(now: Time, span: Duration) -> Self {
@@ -30,13 +30,13 @@
     }
 
     /// Something was learned: whoever waits looks again.
-    pub fn learned(&self) {
+    pub fn notify(&self) {
         self.learned.notify_waiters();
     }
 
     /// Looks for something, again whenever there is news, until the first
     /// moments are over or `ends` has come.
-    pub async fn soon<T>(
+    pub async fn wait_for<T>(
         &self,
         ends: Time,
         now: impl Fn() -> Time,
--- a/crates/sapphirequayd/src/gateway/front/stream.rs
+++ b/crates/sapphirequayd/src/gateway/front/stream.rs
@@ -6,7 +6,7 @@
         events::EventReader,
         host::FrontHost,
         reservation::Reservation,
-        verdict::{StreamEnd, UPSTREAM_BROKE_OFF, Verdict, verdict},
+        upstream_outcome::{StreamEnd, UPSTREAM_DISCONNECTED, UpstreamOutcome, upstream_outcome},
     },
     crate::gateway::{
         http_server::{Body, BrokenOff},
@@ -117,8 +117,8 @@
         }
         let kept = self.sent.elapsed().saturating_sub(read);
         let keep_ms = kept.as_millis();
-        meters::stage(Stage::Stream, read);
-        meters::stage(Stage::Keep, kept);
+        meters::record_stage(Stage::Stream, read);
+        meters::record_stage(Stage::Keep, kept);
         log::info!(
             "event=stream_ended id={} upstream={} events={events} wait_ms={} first_ms={} read_ms={read_ms} keep_ms={keep_ms} end={end:?}",
             self.id,
@@ -131,14 +131,14 @@
     /// Notes how the upstream did its work.
     fn rate_upstream(&self, end: StreamEnd, reader: &EventReader) {
         let events = reader.events();
-        match verdict(end, events, reader.mid_event()) {
-            Verdict::Served => {
+        match upstream_outcome(end, events, reader.mid_event()) {
+            UpstreamOutcome::Succeeded => {
                 let events = u32::try_from(events).unwrap_or(u32::MAX);
                 self.sent.served(self.sent.elapsed() / events);
             }
-            Verdict::Done => self.sent.done(),
-            Verdict::Failed => self.sent.failed(),
-            Verdict::GivenUp => self.sent.given_up(),
+            UpstreamOutcome::SucceededUntimed => self.sent.done(),
+            UpstreamOutcome::Failed => self.sent.failed(),
+            UpstreamOutcome::Abandoned => self.sent.given_up(),
         }
     }
 
@@ -162,7 +162,7 @@
                 None => return StreamEnd::Whole,
                 Some(Err(err)) => {
                     log::info!("event=stream_broken id={} cause=\"{err}\"", self.id);
-                    return StreamEnd::Broken(UPSTREAM_BROKE_OFF);
+                    return StreamEnd::Broken(UPSTREAM_DISCONNECTED);
                 }
                 Some(Ok(frame)) => match frame.into_data() {
                     Ok(data) => data,
@@ -192,7 +192,7 @@
         let Some(keeping) = self.keeping.take() else {
             return StreamEnd::Whole;
         };
-        let output = reader.into_kept();
+        let output = reader.into_data();
         let record = TurnRecord {
             id: keeping.id,
             prior: keeping.prior,
--- a/crates/sapphirequayd/src/gateway/front/verdict.rs
+++ b/crates/sapphirequayd/src/gateway/front/upstream_outcome.rs
@@ -5,7 +5,7 @@
 const LEAST_EVENTS: u64 = 4;
 
 /// Why a stream is cut that the upstream did not end whole.
-pub const UPSTREAM_BROKE_OFF: &str = "upstream_broke_off";
+pub const UPSTREAM_DISCONNECTED: &str = "upstream_broke_off";
 
 /// How a stream ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -20,26 +20,26 @@
 
 /// What is noted of the upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum UpstreamOutcome {
     /// It did its work, and the time of an event says how fast.
-    Served,
+    Succeeded,
     /// It did its work, too little to say how fast.
-    Done,
+    SucceededUntimed,
     /// It lost or spoilt the request.
     Failed,
     /// Others ended the request; the upstream may have been silent before.
-    GivenUp,
+    Abandoned,
 }
 
 /// What a stream that has ended after so many whole events says, and whether
 /// within one. What is done with the turn afterwards says nothing.
 #[must_use]
-pub fn verdict(end: StreamEnd, events: u64, mid_event: bool) -> Verdict {
+pub fn upstream_outcome(end: StreamEnd, events: u64, mid_event: bool) -> UpstreamOutcome {
     match end {
-        StreamEnd::Whole if mid_event => Verdict::Failed,
-        StreamEnd::Whole if events < LEAST_EVENTS => Verdict::Done,
-        StreamEnd::Whole => Verdict::Served,
-        StreamEnd::Broken(UPSTREAM_BROKE_OFF) => Verdict::Failed,
-        StreamEnd::Broken(_) | StreamEnd::CallerGone => Verdict::GivenUp,
+        StreamEnd::Whole if mid_event => UpstreamOutcome::Failed,
+        StreamEnd::Whole if events < LEAST_EVENTS => UpstreamOutcome::SucceededUntimed,
+        StreamEnd::Whole => UpstreamOutcome::Succeeded,
+        StreamEnd::Broken(UPSTREAM_DISCONNECTED) => UpstreamOutcome::Failed,
+        StreamEnd::Broken(_) | StreamEnd::CallerGone => UpstreamOutcome::Abandoned,
     }
 }
--- a/crates/sapphirequayd/src/gateway/messages.rs
+++ b/crates/sapphirequayd/src/gateway/messages.rs
@@ -18,7 +18,7 @@
     Store(StoreRequest),
     /// For a front: to be passed on to the store host at this address; answered
     /// by [`StoreReply`].
-    PassOn(SocketAddr, StoreRequest),
+    Relay(SocketAddr, StoreRequest),
 }
 
 // ---------------------------------------------------------------------------
@@ -28,19 +28,19 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ControlRequest {
     /// What changed; answered when something did, or after a while.
-    Follow(Mark),
+    Follow(FollowerState),
     /// An upstream announces itself.
     Announce(Box<Announcement>),
     /// An upstream is leaving.
     Leave(Box<str>, Option<Incarnation>),
     /// Put a routing table into force.
-    PutTable(TableText),
+    PutTable(TableDocument),
     /// Read the routing table in force.
     GetTable,
     /// A replica that belongs to no group wants to join.
     Join(Member),
     /// A store host says how it stands.
-    Hello(StoreAnnouncement),
+    AnnounceStore(StoreAnnouncement),
     /// Empty a store host.
     Retire(Box<str>),
     /// Whether a store host is empty.
@@ -49,7 +49,7 @@
 
 /// How much a follower knows.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Mark {
+pub struct FollowerState {
     /// Revision of the routing table; 0 without one.
     pub revision: u64,
     /// Version of the view of stores.
@@ -62,7 +62,7 @@
 
 /// A routing table as it was sent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TableText {
+pub struct TableDocument {
     /// Its revision.
     pub revision: u64,
     /// The document, byte for byte.
@@ -72,11 +72,11 @@
 
 /// News for a follower.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct ControlUpdate {
     /// Version of the control state.
     pub version: u64,
     /// The routing table, if the follower's is another.
-    pub table: Option<TableText>,
+    pub table: Option<TableDocument>,
     /// The view of stores, if the follower's is another.
     pub stores: Option<StoreView>,
     /// Changes of the directory.
@@ -91,12 +91,12 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ControlReply {
     /// To [`ControlRequest::Follow`].
-    News(Box<News>),
+    Update(Box<ControlUpdate>),
     /// Done, or done before.
     Done,
     /// To [`ControlRequest::GetTable`]; `None` before there is one.
-    Table(Option<TableText>),
-    /// To [`ControlRequest::Hello`].
+    Table(Option<TableDocument>),
+    /// To [`ControlRequest::AnnounceStore`].
     Stores(StoreView),
     /// To [`ControlRequest::Retired`]: whether the host is empty.
     Retired(bool),
@@ -114,7 +114,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ControlCommand {
     /// Put a routing table into force if its revision is the highest.
-    PutTable(TableText),
+    PutTable(TableDocument),
     /// An upstream gets no new work in this run and earlier ones.
     Depart(Box<str>, Incarnation),
     /// Change the view of stores.
@@ -147,7 +147,7 @@
     /// Tell a turn and all before it.
     Chain(TurnId),
     /// Refuse earlier epochs from now on.
-    Adopt,
+    FenceEpoch,
     /// Tell these turns.
     Fetch(Vec<TurnId>),
     /// List turns, and tell charges, after these numbers.
@@ -163,7 +163,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreReply {
     /// Synced.
-    Took,
+    Synced,
     /// Synced; every charge of the program.
     Charges(Vec<Charge>),
     /// Turns, newest first, and the one at which the chain breaks off.
--- a/crates/sapphirequayd/src/gateway/mod.rs
+++ b/crates/sapphirequayd/src/gateway/mod.rs
@@ -17,8 +17,11 @@
 
 pub use {
     control::{ControlState, MembershipInputs, next_membership_change},
-    front::{Chains, EventReader, Starting, StreamEnd, UPSTREAM_BROKE_OFF, Verdict, verdict},
-    messages::{ControlCommand, GatewayRequest, StoreOp, StoreReply, StoreRequest, TableText},
+    front::{
+        ConversationCache, EventReader, StartupWait, StreamEnd, UPSTREAM_DISCONNECTED,
+        UpstreamOutcome, upstream_outcome,
+    },
+    messages::{ControlCommand, GatewayRequest, StoreOp, StoreReply, StoreRequest, TableDocument},
     run::run,
     store::{PathProbe, StorePath},
 };
--- a/crates/sapphirequayd/src/gateway/run.rs
+++ b/crates/sapphirequayd/src/gateway/run.rs
@@ -212,7 +212,7 @@
 /// Passes a question of another front on to a store.
 fn serve_front(stores: &StoreClient, incoming: Incoming) {
     match incoming.first.decode() {
-        Ok(LinkRequest::Gateway(GatewayRequest::PassOn(addr, req))) => {
+        Ok(LinkRequest::Gateway(GatewayRequest::Relay(addr, req))) => {
             let stores = stores.clone();
             spawn_local(async move {
                 let reply = stores.forward(addr, req).await;
--- a/crates/sapphirequayd/src/gateway/store/client.rs
+++ b/crates/sapphirequayd/src/gateway/store/client.rs
@@ -4,7 +4,7 @@
     super::path::{PathProbe, StorePath},
     crate::{
         gateway::{
-            control_client::ask,
+            control_client::exchange,
             messages::{GatewayRequest, StoreOp, StoreReply, StoreRequest},
         },
         process::Clock,
@@ -169,11 +169,11 @@
     ) -> Result<StoreReply, LinkError> {
         let Some(front) = relay else {
             let req = LinkRequest::Gateway(GatewayRequest::Store(req));
-            return ask(&self.links, (addr, LinkRole::Ledger), &req, within).await;
+            return exchange(&self.links, (addr, LinkRole::Ledger), &req, within).await;
         };
-        let req = LinkRequest::Gateway(GatewayRequest::PassOn(addr, req));
+        let req = LinkRequest::Gateway(GatewayRequest::Relay(addr, req));
         let front = (front, LinkRole::Entry);
-        let reply: Option<StoreReply> = ask(&self.links, front, &req, within).await?;
+        let reply: Option<StoreReply> = exchange(&self.links, front, &req, within).await?;
         reply.ok_or(LinkError::Silent)
     }
 
@@ -250,7 +250,7 @@
         let mut replies = self.ask_all(&view, op);
         while tally.verdict() == WriteVerdict::Pending {
             match replies.recv().await {
-                Some((identity, Some(StoreReply::Took))) => tally.synced(identity),
+                Some((identity, Some(StoreReply::Synced))) => tally.synced(identity),
                 Some((identity, _)) => tally.failed(identity),
                 None => return false,
             }
--- a/crates/sapphirequayd/src/gateway/store/copy.rs
+++ b/crates/sapphirequayd/src/gateway/store/copy.rs
@@ -5,7 +5,7 @@
     super::StoreHost,
     crate::{
         gateway::{
-            control_client::ask,
+            control_client::exchange,
             messages::{GatewayRequest, StoreList, StoreOp, StoreReply, StoreRequest},
         },
         wire::LinkRequest,
@@ -86,7 +86,7 @@
 
 /// Makes a source adopt the current epoch and refuse earlier ones.
 async fn adopt(host: &StoreHost, source: &CopySource) -> bool {
-    ask_source(host, source, StoreOp::Adopt).await == Some(StoreReply::Took)
+    ask_source(host, source, StoreOp::FenceEpoch).await == Some(StoreReply::Synced)
 }
 
 /// Copies the turns that only the source holds, and all its charges.
@@ -179,5 +179,5 @@
     };
     let req = LinkRequest::Gateway(GatewayRequest::Store(req));
     let source = (source.addr, LinkRole::Ledger);
-    ask(&host.links, source, &req, SOURCE_TIMEOUT).await.ok()
+    exchange(&host.links, source, &req, SOURCE_TIMEOUT).await.ok()
 }
--- a/crates/sapphirequayd/src/gateway/store/host.rs
+++ b/crates/sapphirequayd/src/gateway/store/host.rs
@@ -176,7 +176,7 @@
             StoreOp::Write(record) => {
                 let saved = self.save(record).await;
                 if saved {
-                    StoreReply::Took
+                    StoreReply::Synced
                 } else {
                     StoreReply::Refused
                 }
@@ -189,7 +189,7 @@
                 }
             }
             StoreOp::Chain(turn) => self.chain(turn).await,
-            StoreOp::Adopt => StoreReply::Took,
+            StoreOp::FenceEpoch => StoreReply::Synced,
             StoreOp::Fetch(turns) => self.fetch(&turns).await,
             StoreOp::List { turns, programs } => self.list(turns, programs),
         }
@@ -308,7 +308,7 @@
             };
             let reply = self
                 .client
-                .ask(ControlRequest::Hello(announcement), ANNOUNCE_TIMEOUT)
+                .request(ControlRequest::AnnounceStore(announcement), ANNOUNCE_TIMEOUT)
                 .await;
             if let Some(ControlReply::Stores(view)) = reply {
                 self.apply_view(view).await;
@@ -377,7 +377,7 @@
             let now = self.now();
             {
                 let held = self.index.borrow();
-                meters::store(held.turn_count(), held.whole_epoch() > 0);
+                meters::set_store(held.turn_count(), held.whole_epoch() > 0);
             }
             let empty = self.index.borrow_mut().expire(now, self.segment.get());
             for segment in empty {
@@ -413,7 +413,7 @@
                 if std::mem::take(&mut disk_full) {
                     log::info!("event=store_disk_regained");
                 }
-                meters::synced(records.len(), began.elapsed());
+                meters::record_sync(records.len(), began.elapsed());
                 for (location, reply_to) in locations.into_iter().zip(waiters) {
                     let _ = reply_to.send(Some((location, files.segment())));
                 }
--- a/crates/sapphirequayd/src/lib.rs
+++ b/crates/sapphirequayd/src/lib.rs
@@ -21,9 +21,9 @@
 
 pub use {
     gateway::{
-        Chains, ControlCommand, ControlState, EventReader, GatewayRequest, MembershipInputs,
-        PathProbe, Starting, StoreOp, StorePath, StoreReply, StoreRequest, StreamEnd, TableText,
-        UPSTREAM_BROKE_OFF, Verdict, next_membership_change, run as run_gateway, verdict,
+        ControlCommand, ControlState, ConversationCache, EventReader, GatewayRequest, MembershipInputs,
+        PathProbe, StartupWait, StoreOp, StorePath, StoreReply, StoreRequest, StreamEnd, TableDocument,
+        UPSTREAM_DISCONNECTED, UpstreamOutcome, next_membership_change, run as run_gateway, upstream_outcome,
     },
     process::{
         BackupError, ChangeError, Clock, ControlClient, ControlFault, ControlReply, ControlRequest,
--- a/crates/sapphirequayd/tests/gateway.rs
+++ b/crates/sapphirequayd/tests/gateway.rs
@@ -311,7 +311,7 @@
             joined: 0,
             op: StoreOp::Chain(TurnId(0)),
         };
-        let req = LinkRequest::Gateway(GatewayRequest::PassOn(addr, req));
+        let req = LinkRequest::Gateway(GatewayRequest::Relay(addr, req));
         let stream = other.open(gateway.front_links[0], LinkRole::Entry, &req);
         let answer = stream.expect("stream").recv::<Option<StoreReply>>();
         answer.expect("answer")
--- a/crates/sapphirequayd/tests/gateway_parts.rs
+++ b/crates/sapphirequayd/tests/gateway_parts.rs
@@ -6,9 +6,9 @@
     quay_quorum::{Member, Membership, MembershipChange, StateMachine as _},
     quay_types::{Epoch, Incarnation, LogIndex, NodeId, Time, TurnId},
     sapphirequayd::{
-        Chains, ControlCommand, ControlState, EventReader, MembershipInputs, PathProbe, Starting,
-        StorePath, StreamEnd, TableText, UPSTREAM_BROKE_OFF, Verdict, next_membership_change,
-        verdict,
+        ControlCommand, ControlState, ConversationCache, EventReader, MembershipInputs, PathProbe, StartupWait,
+        StorePath, StreamEnd, TableDocument, UPSTREAM_DISCONNECTED, UpstreamOutcome, next_membership_change,
+        upstream_outcome,
     },
 };
 
@@ -23,7 +23,7 @@
     let mut reader = EventReader::new(true);
     reader.feed(STREAM);
     assert_eq!((reader.events(), reader.mid_event()), (2, false));
-    assert_eq!(reader.into_kept(), b"one\ntwo\n lines\n");
+    assert_eq!(reader.into_data(), b"one\ntwo\n lines\n");
 }
 
 #[test]
@@ -49,22 +49,31 @@
             from = cut;
         }
         prop_assert_eq!(reader.events(), 2);
-        prop_assert_eq!(reader.into_kept(), b"one\ntwo\n lines\n");
+        prop_assert_eq!(reader.into_data(), b"one\ntwo\n lines\n");
     }
 }
 
 #[test]
 fn an_upstream_is_rated_by_its_own_part_of_a_stream_only() {
     let whole = StreamEnd::Whole;
-    assert_eq!(verdict(whole, 8, false), Verdict::Served);
+    assert_eq!(
+        upstream_outcome(whole, 8, false),
+        UpstreamOutcome::Succeeded
+    );
     // Too short to say how fast; how long its turn waits for stores is not its
     // doing.
-    assert_eq!(verdict(whole, 2, false), Verdict::Done);
-    assert_eq!(verdict(whole, 8, true), Verdict::Failed);
-    let broke_off = StreamEnd::Broken(UPSTREAM_BROKE_OFF);
-    assert_eq!(verdict(broke_off, 8, false), Verdict::Failed);
+    assert_eq!(
+        upstream_outcome(whole, 2, false),
+        UpstreamOutcome::SucceededUntimed
+    );
+    assert_eq!(upstream_outcome(whole, 8, true), UpstreamOutcome::Failed);
+    let broke_off = StreamEnd::Broken(UPSTREAM_DISCONNECTED);
+    assert_eq!(
+        upstream_outcome(broke_off, 8, false),
+        UpstreamOutcome::Failed
+    );
     for end in [StreamEnd::CallerGone, StreamEnd::Broken("time_over")] {
-        assert_eq!(verdict(end, 8, false), Verdict::GivenUp);
+        assert_eq!(upstream_outcome(end, 8, false), UpstreamOutcome::Abandoned);
     }
 }
 
@@ -73,7 +82,7 @@
 
 #[test]
 fn conversations_are_bounded_and_dropped_when_unused() {
-    let mut chains = Chains::new(10);
+    let mut chains = ConversationCache::new(10);
     let at = Time::from_millis;
     chains.put(at(0), TurnId(1), Bytes::from_static(b"12345"));
     chains.put(at(0), TurnId(2), Bytes::from_static(b"12345"));
@@ -92,7 +101,7 @@
 // Control group
 
 fn table(revision: u64, text: &[u8]) -> ControlCommand {
-    ControlCommand::PutTable(TableText {
+    ControlCommand::PutTable(TableDocument {
         revision,
         document: text.into(),
     })
@@ -184,20 +193,20 @@
 #[tokio::test]
 async fn a_front_that_has_just_started_waits_for_what_is_about_to_come() {
     let now = std::cell::Cell::new(0);
-    let starting = Starting::new(Time::ZERO, std::time::Duration::from_mins(5));
+    let startup = StartupWait::new(Time::ZERO, std::time::Duration::from_mins(5));
     let table = std::cell::Cell::new(None);
     let looks = std::cell::Cell::new(0);
     let look = || {
         looks.set(looks.get() + 1);
         table.get()
     };
-    let waits = starting.soon(Time::from_millis(90_000), stopped(&now), look);
+    let waits = startup.wait_for(Time::from_millis(90_000), stopped(&now), look);
     let learns = async {
         // News that is not what is waited for, then what is.
-        starting.learned();
+        startup.notify();
         tokio::task::yield_now().await;
         table.set(Some(7));
-        starting.learned();
+        startup.notify();
     };
     let (found, ()) = tokio::join!(waits, learns);
     assert_eq!(found, Some(7));
@@ -207,13 +216,13 @@
 #[tokio::test]
 async fn nobody_waits_once_the_first_moments_or_the_time_of_the_request_are_over() {
     let now = std::cell::Cell::new(6_000);
-    let starting = Starting::new(Time::ZERO, std::time::Duration::from_secs(5));
+    let startup = StartupWait::new(Time::ZERO, std::time::Duration::from_secs(5));
     let look = || None::<u32>;
     let ends = Time::from_millis(90_000);
-    assert_eq!(starting.soon(ends, stopped(&now), look).await, None);
+    assert_eq!(startup.wait_for(ends, stopped(&now), look).await, None);
     now.set(1_000);
     let ends = Time::from_millis(1_000);
-    assert_eq!(starting.soon(ends, stopped(&now), look).await, None);
+    assert_eq!(startup.wait_for(ends, stopped(&now), look).await, None);
 }
 
 // ---------------------------------------------------------------------------
