--- a/crates/sapphirequayd/src/connection/answer.rs
+++ b/crates/sapphirequayd/src/connection/answer.rs
@@ -1,7 +1,7 @@
 //! Writes answers to callers: server-sent events or one JSON body.
 
 use {
-    crate::request::{Answer, Usage},
+    crate::request::{ResponseWriter, Usage},
     quay_types::{Error, FinishReason},
     serde_json::{Value, json},
     std::io::{self, Write},
@@ -204,7 +204,7 @@
     json!({"index": 0, "delta": delta, "finish_reason": finish})
 }
 
-impl<W: Write> Answer for EventAnswer<W> {
+impl<W: Write> ResponseWriter for EventAnswer<W> {
     fn delta(&mut self, text: &str) -> io::Result<()> {
         self.role()?;
         let offset = json!({"offset": self.bytes});
@@ -271,7 +271,7 @@
     }
 }
 
-impl<W: Write> Answer for WholeAnswer<W> {
+impl<W: Write> ResponseWriter for WholeAnswer<W> {
     fn delta(&mut self, text: &str) -> io::Result<()> {
         self.text.push_str(text);
         Ok(())
@@ -329,7 +329,7 @@
     }
 }
 
-impl<W: Write> Answer for BodyAnswer<W> {
+impl<W: Write> ResponseWriter for BodyAnswer<W> {
     fn delta(&mut self, _: &str) -> io::Result<()> {
         Err(io::Error::other("a service does not stream"))
     }
--- a/crates/sapphirequayd/src/connection/edge.rs
+++ b/crates/sapphirequayd/src/connection/edge.rs
@@ -10,7 +10,7 @@
             route::Route,
         },
         process::{Clock, Lifecycle, telemetry},
-        request::{CallContext, Completion, run_call},
+        request::{CallContext, CompletionRequest, run_call},
         settings::EntrySettings,
         version::Current,
     },
@@ -228,7 +228,8 @@
     body: &[u8],
     req: Request,
 ) -> Served {
-    let parsed = CallHeaders::of(&req).and_then(|headers| Ok((headers, Completion::parse(body)?)));
+    let parsed =
+        CallHeaders::of(&req).and_then(|headers| Ok((headers, CompletionRequest::parse(body)?)));
     let (headers, completion) = match parsed {
         Ok(parsed) => parsed,
         Err(err) => return refuse(req, number, &err).map(|()| Err(err)),
@@ -243,7 +244,7 @@
     let content = CallContent {
         target: CallTarget::Model(completion.model_id()),
         sent: body,
-        history: completion.new_part().into(),
+        history: completion.new_messages().into(),
         prompt: prompt.tokens,
         max_output: completion.max_output(),
         blocks: prompt.blocks,
--- a/crates/sapphirequayd/src/connection/engine.rs
+++ b/crates/sapphirequayd/src/connection/engine.rs
@@ -6,7 +6,7 @@
 //! a fresh connection; `DELETE /v1/streams/ID` cancels.
 
 use {
-    crate::request::{Input, Usage},
+    crate::request::{UpstreamEvent, Usage},
     quay_types::{Error, ErrorKind, FinishReason, Tokens},
     serde::Deserialize,
     std::{
@@ -119,7 +119,7 @@
     /// # Errors
     ///
     /// What the connection said instead of a stream.
-    pub fn start(&self, id: StreamId, body: &[u8]) -> Result<EngineStream, Input> {
+    pub fn start(&self, id: StreamId, body: &[u8]) -> Result<EngineStream, UpstreamEvent> {
         let sent = self
             .agent
             .post(&format!("{}/v1/chat/completions", self.base))
@@ -134,14 +134,14 @@
     /// # Errors
     ///
     /// What the connection said instead of a stream.
-    pub fn resume(&self, id: StreamId, tokens: u64) -> Result<EngineStream, Input> {
+    pub fn resume(&self, id: StreamId, tokens: u64) -> Result<EngineStream, UpstreamEvent> {
         let sent = self
             .agent
             .get(&format!("{}/v1/streams/{id}", self.base))
             .set("last-event-id", &tokens.to_string())
             .call();
         match sent {
-            Err(ureq::Error::Status(404, _)) => Err(Input::Unknown),
+            Err(ureq::Error::Status(404, _)) => Err(UpstreamEvent::Unknown),
             sent => EngineStream::open(sent, tokens),
         }
     }
@@ -174,7 +174,7 @@
 }
 
 /// What a failed exchange says of the upstream.
-fn said(err: ureq::Error) -> Input {
+fn said(err: ureq::Error) -> UpstreamEvent {
     match err {
         ureq::Error::Status(status, response) => {
             let mut text = String::new();
@@ -184,15 +184,15 @@
                 ErrorKind::UpstreamError,
                 format!("the upstream answered {status}: {text}"),
             );
-            Input::Rejected {
+            UpstreamEvent::Rejected {
                 error,
                 fault: status >= FIRST_FAULT_STATUS,
             }
         }
         ureq::Error::Transport(err) => match err.kind() {
-            ureq::ErrorKind::ConnectionFailed | ureq::ErrorKind::Dns => Input::Unreachable,
-            _ if timed_out(&err) => Input::Silent,
-            _ => Input::Broken,
+            ureq::ErrorKind::ConnectionFailed | ureq::ErrorKind::Dns => UpstreamEvent::Unreachable,
+            _ if timed_out(&err) => UpstreamEvent::ReadTimeout,
+            _ => UpstreamEvent::Broken,
         },
     }
 }
@@ -232,7 +232,10 @@
 
 impl EngineStream {
     /// The stream of an answered request.
-    fn open(sent: Result<ureq::Response, ureq::Error>, position: u64) -> Result<Self, Input> {
+    fn open(
+        sent: Result<ureq::Response, ureq::Error>,
+        position: u64,
+    ) -> Result<Self, UpstreamEvent> {
         let response = sent.map_err(said)?;
         Ok(Self {
             lines: BufReader::new(response.into_reader()),
@@ -243,15 +246,15 @@
     }
 
     /// The next thing that the engine says.
-    pub fn next(&mut self) -> Input {
+    pub fn next(&mut self) -> UpstreamEvent {
         let mut line = String::new();
         loop {
             line.clear();
             match self.lines.read_line(&mut line) {
-                Ok(0) => return Input::Broken,
+                Ok(0) => return UpstreamEvent::Broken,
                 Ok(_) => {}
-                Err(err) if is_timeout(&err) => return Input::Silent,
-                Err(_) => return Input::Broken,
+                Err(err) if is_timeout(&err) => return UpstreamEvent::ReadTimeout,
+                Err(_) => return UpstreamEvent::Broken,
             }
             if let Some(input) = self.line(line.trim_end()) {
                 return input;
@@ -260,7 +263,7 @@
     }
 
     /// Takes one line; `None` for those that say nothing by themselves.
-    fn line(&mut self, line: &str) -> Option<Input> {
+    fn line(&mut self, line: &str) -> Option<UpstreamEvent> {
         if let Some(id) = line.strip_prefix("id: ") {
             self.event_id = id.parse().ok();
             return None;
@@ -271,7 +274,7 @@
         }
         match serde_json::from_str(data) {
             Ok(chunk) => self.chunk(chunk),
-            Err(err) => Some(Input::Rejected {
+            Err(err) => Some(UpstreamEvent::Rejected {
                 error: Error::new(ErrorKind::UpstreamError, format!("upstream event: {err}")),
                 fault: true,
             }),
@@ -279,7 +282,7 @@
     }
 
     /// Takes one chunk; `None` if it carries neither text nor counts.
-    fn chunk(&mut self, chunk: Chunk) -> Option<Input> {
+    fn chunk(&mut self, chunk: Chunk) -> Option<UpstreamEvent> {
         if let Some(choice) = chunk.choices.into_iter().next() {
             if choice.finish_reason.as_deref() == Some("length") {
                 self.finish = FinishReason::Length;
@@ -289,7 +292,7 @@
             }
         }
         let usage = chunk.usage?;
-        Some(Input::End {
+        Some(UpstreamEvent::End {
             position: self.event_id.take(),
             finish: self.finish,
             usage: Usage {
@@ -301,11 +304,11 @@
     }
 
     /// Numbers a text; one without a number is one token.
-    fn text(&mut self, text: Box<str>) -> Input {
+    fn text(&mut self, text: Box<str>) -> UpstreamEvent {
         let position = self.event_id.take().unwrap_or(self.position + 1);
         let tokens = position.saturating_sub(self.position).max(1);
         self.position = position;
-        Input::Text {
+        UpstreamEvent::Text {
             position,
             tokens: u32::try_from(tokens).unwrap_or(u32::MAX),
             text,
--- a/crates/sapphirequayd/src/connection/programs.rs
+++ b/crates/sapphirequayd/src/connection/programs.rs
@@ -1,7 +1,7 @@
 //! Callers' headers of a call, and `/v1/programs`.
 
 use {
-    crate::{connection::edge::EntryContext, request::CallOrder},
+    crate::{connection::edge::EntryContext, request::CallSpec},
     quay_types::{
         AccountId, CallNumber, CallRequest, CallTarget, ConfigIndex, ContentDigest, Error,
         ErrorKind, Incarnation, LedgerReply, LedgerRequest, NewProgram, Outcome, ProgramId,
@@ -159,7 +159,7 @@
     headers: &CallHeaders,
     content: CallContent<'_>,
     config: ConfigIndex,
-) -> CallOrder {
+) -> CallSpec {
     let key_text = headers.key.clone().unwrap_or_else(random_key);
     let key = RequestKey::of(account, &key_text);
     let program = headers.program.unwrap_or_else(|| program_of(key));
@@ -172,7 +172,7 @@
         CallTarget::Service(service) => service.0,
     };
     let digest = ContentDigest::of(&[&target.to_le_bytes(), content.sent]);
-    CallOrder {
+    CallSpec {
         request: CallRequest {
             permit: None,
             incarnation: Incarnation::default(),
@@ -192,7 +192,7 @@
         },
         number: headers.number,
         key,
-        key_named: headers.key.is_some(),
+        key_supplied: headers.key.is_some(),
         digest,
         implicit,
         prompt: content.history,
--- a/crates/sapphirequayd/src/lib.rs
+++ b/crates/sapphirequayd/src/lib.rs
@@ -32,7 +32,10 @@
         LogLines, Machine, Mailbox, MemberRow, OperatorOrder, PeerFrame, Progress, QuorumReply,
         QuorumRequest, StartError, backup, restore, spawn,
     },
-    request::{Input, Splice, Spliced, Step, Transcript, TranscriptSettings, Usage},
+    request::{
+        ResponseText, StreamAction, StreamTracker, StreamTrackerSettings, TextUpdate,
+        UpstreamEvent, Usage,
+    },
     settings::{
         ControlSettings, DEFAULT_SETTINGS, EntrySettings, FrontSettings, KvTable, LedgerSettings,
         LinkTableSettings, LogLevel, LogSettings, PeerSettings, PolicyTable, Problem,
--- a/crates/sapphirequayd/src/process/daemon.rs
+++ b/crates/sapphirequayd/src/process/daemon.rs
@@ -12,7 +12,7 @@
             directory::DirectoryMsg,
             spawn, telemetry,
         },
-        request::{Attempts, CallContext, answer_inquiry, serve_attempt},
+        request::{AttemptContext, CallContext, answer_permit_query, serve_attempt},
         settings::{EntrySettings, Settings, SidecarSettings},
         version::Current,
         wire::LinkRequest,
@@ -97,7 +97,7 @@
 /// The roles that streams from peers are for.
 #[derive(Default)]
 pub struct Roles {
-    pub sidecar: Option<Attempts>,
+    pub sidecar: Option<AttemptContext>,
     pub directory: Option<Mailbox<DirectoryMsg>>,
     pub ledger: Option<LedgerService>,
     pub control: Option<ControlService>,
@@ -280,7 +280,7 @@
     links: &Links,
     clock: Clock,
     lifecycle: &Lifecycle,
-) -> Result<Attempts, StartError> {
+) -> Result<AttemptContext, StartError> {
     let gate = settings.policy.admit.settings(sidecar.concurrency);
     let gate = spawn("gate", clock, Gate::new(gate)).map_err(starting("gate"))?;
     let incarnation = Incarnation(Clock::wall_ms());
@@ -322,7 +322,7 @@
         let kv = KvKeeper::start(clock, sweep, engine.clone(), ledger);
         Some(kv.map_err(starting("kv keeper"))?)
     };
-    Ok(Attempts {
+    Ok(AttemptContext {
         incarnation,
         gate,
         kv,
@@ -400,7 +400,7 @@
         }
         LinkRequest::Sidecar(SidecarRequest::QueryPermit(id, incarnation)) => {
             if let Some(attempts) = &roles.sidecar {
-                answer_inquiry(attempts, &incoming.stream, id, incarnation);
+                answer_permit_query(attempts, &incoming.stream, id, incarnation);
             }
         }
         LinkRequest::Ledger(req) => {
--- a/crates/sapphirequayd/src/request/attempt.rs
+++ b/crates/sapphirequayd/src/request/attempt.rs
@@ -4,7 +4,7 @@
     crate::{
         connection::{EngineClient, EngineStream, ServiceClient, StreamId},
         process::{Clock, GateMsg, KvMsg, Lifecycle, Mailbox, PermitMsg, SharedHealth, ticket},
-        request::{Input, Step, Transcript, TranscriptSettings, Usage},
+        request::{StreamAction, StreamTracker, StreamTrackerSettings, UpstreamEvent, Usage},
     },
     quay_link::LinkStream,
     quay_policy::TicketId,
@@ -36,7 +36,7 @@
 
 /// What attempts on one sidecar share.
 #[derive(Debug, Clone)]
-pub struct Attempts {
+pub struct AttemptContext {
     /// This run of the sidecar.
     pub incarnation: Incarnation,
     /// Queue before the upstream.
@@ -60,7 +60,7 @@
 }
 
 /// Serves one attempt and reports its events on `stream`.
-pub fn serve_attempt(cx: &Attempts, stream: &mut LinkStream, call: &CallRequest) {
+pub fn serve_attempt(cx: &AttemptContext, stream: &mut LinkStream, call: &CallRequest) {
     let Some(_progress) = cx.lifecycle.begin() else {
         let err = Error::new(ErrorKind::Draining, "the sidecar is leaving");
         return drop(stream.send(&CallEvent::Refused(err)));
@@ -94,7 +94,7 @@
 }
 
 /// Runs an admitted call of a model and tells the upstream's health of it.
-fn run_model(cx: &Attempts, stream: &LinkStream, call: &CallRequest) -> CallEvent {
+fn run_model(cx: &AttemptContext, stream: &LinkStream, call: &CallRequest) -> CallEvent {
     if let Some(kv) = &cx.kv {
         kv.send(KvMsg::Started(call.program, call.blocks.clone()));
     }
@@ -110,7 +110,7 @@
 }
 
 /// Uses the call's permit, or says why it can't be used.
-fn use_permit(cx: &Attempts, call: &CallRequest) -> std::result::Result<PermitId, CallEvent> {
+fn use_permit(cx: &AttemptContext, call: &CallRequest) -> std::result::Result<PermitId, CallEvent> {
     let asked = cx.permits.ask(|reply| PermitMsg::Admit(call.permit, reply));
     asked.unwrap_or_else(|| {
         let err = Error::new(ErrorKind::Draining, "the sidecar stops");
@@ -119,7 +119,12 @@
 }
 
 /// Tells an entry what became of a permit, and the kept answer if there is one.
-pub fn answer_inquiry(cx: &Attempts, stream: &LinkStream, id: PermitId, incarnation: Incarnation) {
+pub fn answer_permit_query(
+    cx: &AttemptContext,
+    stream: &LinkStream,
+    id: PermitId,
+    incarnation: Incarnation,
+) {
     let known = cx.permits.ask(|reply| PermitMsg::Inquire {
         id,
         incarnation,
@@ -155,7 +160,7 @@
 }
 
 /// Waits for admission; the entry hears heartbeats meanwhile.
-fn admit(cx: &Attempts, stream: &LinkStream, call: &CallRequest) -> Result<TicketId> {
+fn admit(cx: &AttemptContext, stream: &LinkStream, call: &CallRequest) -> Result<TicketId> {
     if call.incarnation != cx.incarnation {
         return Err(Error::new(
             ErrorKind::PermitRefused,
@@ -199,7 +204,7 @@
 
 /// Calls a plain service. It goes on when the entry has gone: its answer is
 /// kept for whoever asks.
-fn run_service(cx: &Attempts, stream: &LinkStream, call: &CallRequest) -> CallEvent {
+fn run_service(cx: &AttemptContext, stream: &LinkStream, call: &CallRequest) -> CallEvent {
     let _ = stream.send(&CallEvent::Started);
     let (tx, rx) = mpsc::sync_channel(1);
     let (service, body) = (cx.service.clone(), call.body.clone());
@@ -233,11 +238,11 @@
 
 /// An admitted attempt.
 struct Run<'a> {
-    cx: &'a Attempts,
+    cx: &'a AttemptContext,
     stream: &'a LinkStream,
     call: &'a CallRequest,
     id: StreamId,
-    transcript: Transcript,
+    tracker: StreamTracker,
     /// Since when tokens are counted, and how many came.
     metered: Cell<(Time, u32)>,
 }
@@ -258,14 +263,14 @@
         }
     }
 
-    fn new(cx: &'a Attempts, stream: &'a LinkStream, call: &'a CallRequest) -> Self {
+    fn new(cx: &'a AttemptContext, stream: &'a LinkStream, call: &'a CallRequest) -> Self {
         let now = cx.clock.now();
-        let settings = TranscriptSettings {
+        let settings = StreamTrackerSettings {
             idempotent: call.idempotent,
             max_output: call.max_output,
             prompt: call.prompt,
             deadline: now + Duration::from_millis(call.deadline_ms) + DEADLINE_MARGIN,
-            ..TranscriptSettings::default()
+            ..StreamTrackerSettings::default()
         };
         Self {
             cx,
@@ -275,7 +280,7 @@
                 incarnation: cx.incarnation.0,
                 attempt: cx.numbers.fetch_add(1, Ordering::Relaxed),
             },
-            transcript: Transcript::new(settings, now),
+            tracker: StreamTracker::new(settings, now),
             metered: Cell::default(),
         }
     }
@@ -288,11 +293,11 @@
             let (silent, input) = match &mut connection {
                 Ok(events) => {
                     let input = events.next();
-                    (input == Input::Silent, input)
+                    (input == UpstreamEvent::ReadTimeout, input)
                 }
-                Err(input) => (*input == Input::Silent, input.clone()),
+                Err(input) => (*input == UpstreamEvent::ReadTimeout, input.clone()),
             };
-            let step = self.transcript.take(self.cx.clock.now(), input);
+            let step = self.tracker.handle(self.cx.clock.now(), input);
             // The entry hears that the attempt lives, and this side whether the
             // entry does.
             if silent && self.stream.send(&CallEvent::Heartbeat).is_err() {
@@ -310,7 +315,7 @@
         match last {
             CallEvent::End { .. } => Some(true),
             CallEvent::Failed(err) if err.kind == ErrorKind::Cancelled => None,
-            CallEvent::Failed(_) if self.transcript.blameless() => None,
+            CallEvent::Failed(_) if self.tracker.blameless() => None,
             CallEvent::Refused(_) | CallEvent::Failed(_) => Some(false),
             _ => None,
         }
@@ -319,12 +324,12 @@
     /// Carries out a step: the connection to read from, or the last event.
     fn carry_out(
         &self,
-        step: Step,
+        step: StreamAction,
         connection: Connection,
     ) -> std::result::Result<Connection, CallEvent> {
         match step {
-            Step::Read => Ok(connection),
-            Step::Pass {
+            StreamAction::Read => Ok(connection),
+            StreamAction::Forward {
                 offset,
                 tokens,
                 text,
@@ -340,20 +345,20 @@
                     Err(_) => Err(self.cancelled()),
                 }
             }
-            Step::Resume(tokens) => {
+            StreamAction::Resume(tokens) => {
                 metrics::counter!("sapphirequay_stream_resumes_total").increment(1);
                 log::info!("event=stream_resumed stream={} tokens={tokens}", self.id);
                 drop(connection);
                 Ok(self.cx.engine.resume(self.id, tokens))
             }
-            Step::Repeat => Ok(self.cx.engine.start(self.id, &self.call.body)),
-            Step::End(finish, usage) => Err(end(finish, usage)),
-            Step::Cut(usage) => {
+            StreamAction::Resend => Ok(self.cx.engine.start(self.id, &self.call.body)),
+            StreamAction::End(finish, usage) => Err(end(finish, usage)),
+            StreamAction::Truncate(usage) => {
                 let _ = self.cx.engine.cancel(self.id);
                 Err(end(FinishReason::Length, usage))
             }
-            Step::NotRun(err) => Err(CallEvent::Refused(err)),
-            Step::Fail(err) => {
+            StreamAction::NotRun(err) => Err(CallEvent::Refused(err)),
+            StreamAction::Fail(err) => {
                 let _ = self.cx.engine.cancel(self.id);
                 Err(CallEvent::Failed(err))
             }
@@ -372,7 +377,7 @@
 }
 
 /// A connection to the upstream, or what it said instead.
-type Connection = std::result::Result<EngineStream, Input>;
+type Connection = std::result::Result<EngineStream, UpstreamEvent>;
 
 /// The event of a whole answer.
 const fn end(finish: FinishReason, usage: Usage) -> CallEvent {
--- a/crates/sapphirequayd/src/request/call.rs
+++ b/crates/sapphirequayd/src/request/call.rs
@@ -4,7 +4,10 @@
 use {
     crate::{
         process::{LedgerClient, LedgerFault, Mailbox, Pick, PickRequest, RouterMsg, Try},
-        request::{AttemptEnd, CallOrder, Delivery, RecordedAnswer, inquire::inquire, run_attempt},
+        request::{
+            AttemptEnd, CallSpec, Delivery, RecordedResponse, permit_query::query_permit,
+            run_attempt,
+        },
     },
     quay_link::Links,
     quay_types::{
@@ -21,7 +24,7 @@
 /// Tokens in a block of a prompt.
 const BLOCK_TOKENS: u64 = 64;
 
-/// Attempts of one call at most.
+/// AttemptContext of one call at most.
 const MAX_ATTEMPTS: usize = 3;
 
 /// Longest wait for the ledger to answer whether a call may run.
@@ -55,7 +58,7 @@
 const GONE_GRACE: Duration = Duration::from_secs(8);
 
 /// Where the answer goes, in the form that the caller asked for.
-pub trait Answer {
+pub trait ResponseWriter {
     /// Passes part of the answer on.
     ///
     /// # Errors
@@ -116,7 +119,7 @@
 
 impl CallContext {
     /// Asks the router for an upstream that was not tried yet.
-    fn pick(&self, order: &CallOrder, tried: &[UpstreamId], attempt: Try) -> Option<Pick> {
+    fn pick(&self, order: &CallSpec, tried: &[UpstreamId], attempt: Try) -> Option<Pick> {
         let request = &order.request;
         let req = PickRequest {
             target: request.target,
@@ -143,11 +146,11 @@
 /// A call on its way through an entry.
 struct Running<'a, A> {
     cx: &'a CallContext,
-    order: &'a CallOrder,
+    order: &'a CallSpec,
     delivery: Delivery<'a, A>,
     /// Upstreams that refused, failed or lost the call.
     tried: Vec<UpstreamId>,
-    /// Attempts that may have run without a whole answer.
+    /// AttemptContext that may have run without a whole answer.
     lost: usize,
     /// Whether the call may run more than once, as its first send said.
     idempotent: bool,
@@ -174,7 +177,11 @@
 /// # Errors
 ///
 /// The error that the caller is told, if no answer was whole.
-pub fn run_call(cx: &CallContext, order: &CallOrder, answer: &mut impl Answer) -> Result<()> {
+pub fn run_call(
+    cx: &CallContext,
+    order: &CallSpec,
+    answer: &mut impl ResponseWriter,
+) -> Result<()> {
     let mut running = Running {
         cx,
         order,
@@ -205,7 +212,7 @@
     ended
 }
 
-impl<A: Answer> Running<'_, A> {
+impl<A: ResponseWriter> Running<'_, A> {
     /// Takes steps until the call has ended.
     fn run(&mut self) -> Result<()> {
         loop {
@@ -304,7 +311,7 @@
     }
 
     // -----------------------------------------------------------------------
-    // Attempts
+    // AttemptContext
 
     /// Runs one attempt under its permit and settles it.
     fn attempt(
@@ -336,7 +343,7 @@
 
     /// Tells the router what the upstream found in its cache, if it says so.
     fn tell_found(&self, pick: Pick, end: &AttemptEnd) {
-        let AttemptEnd::Whole { usage, .. } = end else {
+        let AttemptEnd::Completed { usage, .. } = end else {
             return;
         };
         if usage.cached.0 > 0 {
@@ -349,7 +356,7 @@
     /// Settles an attempt by how it ended.
     fn conclude(&mut self, permit: Permit, end: AttemptEnd) -> Result<bool> {
         match end {
-            AttemptEnd::Whole { answer, usage } => {
+            AttemptEnd::Completed { answer, usage } => {
                 let outcome = answer.outcome(usage.prompt, usage.output);
                 if let Some(stands) = self.settle(permit, outcome)? {
                     return self.replay(stands).map(|()| true);
@@ -419,7 +426,7 @@
         if pick.incarnation != permit.incarnation {
             return Some((PermitStatus::Unknown, None));
         }
-        inquire(&self.cx.links, pick.addr, permit)
+        query_permit(&self.cx.links, pick.addr, permit)
     }
 
     /// Joins an attempt that another entry began, or that an entry began which
@@ -530,7 +537,7 @@
                 output,
                 answer,
             } => {
-                let answer = RecordedAnswer::decode(&answer).ok_or_else(|| {
+                let answer = RecordedResponse::decode(&answer).ok_or_else(|| {
                     Error::new(ErrorKind::Internal, "the recorded answer does not decode")
                 })?;
                 self.delivery.replay(&answer);
@@ -549,7 +556,7 @@
 
     /// The error where the ledger does not answer.
     fn without_ledger(&self, fault: LedgerFault) -> Error {
-        if self.lost > 0 || self.order.key_named {
+        if self.lost > 0 || self.order.key_supplied {
             fault.unreachable()
         } else {
             fault.not_run()
--- a/crates/sapphirequayd/src/request/order.rs
+++ b/crates/sapphirequayd/src/request/call_spec.rs
@@ -10,7 +10,7 @@
 
 /// Everything that stays the same over the attempts of a call.
 #[derive(Debug, Clone)]
-pub struct CallOrder {
+pub struct CallSpec {
     /// The call as sidecars see it, but for permit and incarnation.
     pub request: CallRequest,
     /// Position that the caller named.
@@ -18,7 +18,7 @@
     /// Identity across resends.
     pub key: RequestKey,
     /// Whether the caller named the key, so that an earlier send may exist.
-    pub key_named: bool,
+    pub key_supplied: bool,
     /// Digest of the content.
     pub digest: ContentDigest,
     /// Limits of a program that is made for this call alone.
@@ -31,7 +31,7 @@
     pub deadline: Instant,
 }
 
-impl CallOrder {
+impl CallSpec {
     /// Tokens to set aside.
     #[must_use]
     pub fn reserve(&self) -> Tokens {
--- a/crates/sapphirequayd/src/request/completion.rs
+++ b/crates/sapphirequayd/src/request/completion.rs
@@ -29,7 +29,7 @@
 
 /// The body of `POST /v1/chat/completions`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Completion {
+pub struct CompletionRequest {
     /// Name of the model.
     pub model: Box<str>,
     /// The conversation.
@@ -54,7 +54,7 @@
     pub blocks: Box<[u64]>,
 }
 
-impl Completion {
+impl CompletionRequest {
     /// Parses a body.
     ///
     /// # Errors
@@ -98,7 +98,7 @@
 
     /// The messages after the model's last answer, which no earlier call had.
     #[must_use]
-    pub fn new_part(&self) -> Vec<u8> {
+    pub fn new_messages(&self) -> Vec<u8> {
         let mut known = self.messages.iter();
         let answered = known.rposition(|message| &*message.role == ASSISTANT);
         let new = &self.messages[answered.map_or(0, |at| at + 1)..];
--- a/crates/sapphirequayd/src/request/delivery.rs
+++ b/crates/sapphirequayd/src/request/delivery.rs
@@ -1,7 +1,7 @@
 //! Writes to a caller that may go away while its call goes on.
 
 use {
-    crate::request::{Answer, RecordedAnswer, Splice, Spliced, Usage},
+    crate::request::{RecordedResponse, ResponseText, ResponseWriter, TextUpdate, Usage},
     std::io,
 };
 
@@ -11,17 +11,17 @@
 /// a resend gets it.
 pub struct Delivery<'a, A> {
     answer: &'a mut A,
-    spliced: Spliced,
+    spliced: ResponseText,
     /// Whether a write has failed.
     gone: bool,
 }
 
-impl<'a, A: Answer> Delivery<'a, A> {
+impl<'a, A: ResponseWriter> Delivery<'a, A> {
     /// A delivery to a caller that has nothing yet.
     pub fn new(answer: &'a mut A) -> Self {
         Self {
             answer,
-            spliced: Spliced::default(),
+            spliced: ResponseText::default(),
             gone: false,
         }
     }
@@ -42,8 +42,8 @@
     }
 
     /// Passes a recorded answer on, in place of what was delivered.
-    pub fn replay(&mut self, answer: &RecordedAnswer) {
-        if let RecordedAnswer::Text { text, .. } = answer {
+    pub fn replay(&mut self, answer: &RecordedResponse) {
+        if let RecordedResponse::Text { text, .. } = answer {
             self.spliced.next_attempt();
             self.part(0, text);
         }
@@ -63,15 +63,15 @@
     }
 
     /// Ends a whole answer that is recorded.
-    pub fn finish(&mut self, answer: &RecordedAnswer, usage: Usage) {
+    pub fn finish(&mut self, answer: &RecordedResponse, usage: Usage) {
         let spliced = write(self.answer, self.gone, self.spliced.end());
         self.heed(spliced);
         if self.gone {
             return;
         }
         let written = match answer {
-            RecordedAnswer::Text { finish, .. } => self.answer.end(*finish, usage),
-            RecordedAnswer::Body { status, body } => self.answer.body(*status, body),
+            RecordedResponse::Text { finish, .. } => self.answer.end(*finish, usage),
+            RecordedResponse::Body { status, body } => self.answer.body(*status, body),
         };
         self.heed(written);
     }
@@ -86,12 +86,12 @@
 }
 
 /// Writes what a splice says.
-fn write(answer: &mut impl Answer, gone: bool, splice: Splice<'_>) -> io::Result<()> {
+fn write(answer: &mut impl ResponseWriter, gone: bool, splice: TextUpdate<'_>) -> io::Result<()> {
     match splice {
         _ if gone => Ok(()),
-        Splice::Nothing => Ok(()),
-        Splice::Append(text) => answer.delta(text),
-        Splice::Restart(text) => {
+        TextUpdate::Unchanged => Ok(()),
+        TextUpdate::Append(text) => answer.delta(text),
+        TextUpdate::Restart(text) => {
             answer.restart()?;
             answer.delta(text)
         }
--- a/crates/sapphirequayd/src/request/mod.rs
+++ b/crates/sapphirequayd/src/request/mod.rs
@@ -2,23 +2,23 @@
 
 mod attempt;
 mod call;
+mod call_spec;
 mod completion;
 mod delivery;
-mod inquire;
-mod offer;
-mod order;
-mod recorded;
-mod splice;
-mod transcript;
+mod permit_query;
+mod recorded_response;
+mod remote_attempt;
+mod response_text;
+mod stream_tracker;
 
 pub use {
-    attempt::{Attempts, answer_inquiry, serve_attempt},
-    call::{Answer, CallContext, Usage, run_call},
-    completion::Completion,
+    attempt::{AttemptContext, answer_permit_query, serve_attempt},
+    call::{CallContext, ResponseWriter, Usage, run_call},
+    call_spec::CallSpec,
+    completion::CompletionRequest,
     delivery::Delivery,
-    offer::{AttemptEnd, run_attempt},
-    order::CallOrder,
-    recorded::RecordedAnswer,
-    splice::{Splice, Spliced},
-    transcript::{Input, Step, Transcript, TranscriptSettings},
+    recorded_response::RecordedResponse,
+    remote_attempt::{AttemptEnd, run_attempt},
+    response_text::{ResponseText, TextUpdate},
+    stream_tracker::{StreamAction, StreamTracker, StreamTrackerSettings, UpstreamEvent},
 };
--- a/crates/sapphirequayd/src/request/inquire.rs
+++ b/crates/sapphirequayd/src/request/permit_query.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        request::{AttemptEnd, offer::end_of},
+        request::{AttemptEnd, remote_attempt::end_of},
         wire::LinkRequest,
     },
     quay_link::{LinkRole, Links},
@@ -14,7 +14,7 @@
 /// on. The end of the attempt comes with the answer if the sidecar kept it.
 ///
 /// `None` if the sidecar does not answer.
-pub fn inquire(
+pub fn query_permit(
     links: &Links,
     addr: SocketAddr,
     permit: Permit,
--- a/crates/sapphirequayd/src/request/recorded.rs
+++ b/crates/sapphirequayd/src/request/recorded_response.rs
@@ -7,7 +7,7 @@
 
 /// A whole answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum RecordedAnswer {
+pub enum RecordedResponse {
     /// The answer of a model.
     Text {
         /// Why it ended.
@@ -24,7 +24,7 @@
     },
 }
 
-impl RecordedAnswer {
+impl RecordedResponse {
     /// The outcome that records this answer.
     #[must_use]
     pub fn outcome(&self, prompt: Tokens, output: Tokens) -> Outcome {
--- a/crates/sapphirequayd/src/request/offer.rs
+++ b/crates/sapphirequayd/src/request/remote_attempt.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        request::{Answer, Delivery, RecordedAnswer, Usage},
+        request::{Delivery, RecordedResponse, ResponseWriter, Usage},
         wire::LinkRequest,
     },
     quay_link::{LinkError, LinkRole, LinkStream, Links},
@@ -24,9 +24,9 @@
 #[derive(Debug)]
 pub enum AttemptEnd {
     /// The whole answer is here.
-    Whole {
+    Completed {
         /// The answer.
-        answer: RecordedAnswer,
+        answer: RecordedResponse,
         /// Tokens that the upstream counted.
         usage: Usage,
     },
@@ -45,7 +45,7 @@
 
 /// Runs one attempt and passes its answer on. `asked` is when the ledger was
 /// asked for its permit.
-pub fn run_attempt<A: Answer>(
+pub fn run_attempt<A: ResponseWriter>(
     links: &Links,
     sidecar: SocketAddr,
     request: CallRequest,
@@ -97,7 +97,7 @@
 
 impl Offer {
     /// Takes one event; the end of the attempt if it was the last.
-    fn next_event<A: Answer>(
+    fn next_event<A: ResponseWriter>(
         &mut self,
         stream: &mut LinkStream,
         delivery: &mut Delivery<'_, A>,
@@ -188,8 +188,8 @@
             prompt,
             cached,
             output,
-        } => AttemptEnd::Whole {
-            answer: RecordedAnswer::Text {
+        } => AttemptEnd::Completed {
+            answer: RecordedResponse::Text {
                 finish,
                 text: text.into(),
             },
@@ -199,8 +199,8 @@
                 output,
             },
         },
-        CallEvent::Body { status, body } => AttemptEnd::Whole {
-            answer: RecordedAnswer::Body { status, body },
+        CallEvent::Body { status, body } => AttemptEnd::Completed {
+            answer: RecordedResponse::Body { status, body },
             usage: Usage::default(),
         },
         CallEvent::Refused(err) => AttemptEnd::NotRun(err),
--- a/crates/sapphirequayd/src/request/splice.rs
+++ b/crates/sapphirequayd/src/request/response_text.rs
@@ -2,9 +2,9 @@
 
 /// What to write to the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Splice<'a> {
+pub enum TextUpdate<'a> {
     /// Nothing that the caller does not have.
-    Nothing,
+    Unchanged,
     /// Text that goes on where the caller's text ends.
     Append(&'a str),
     /// The attempt says something else: the answer begins again with this text.
@@ -15,14 +15,14 @@
 ///
 /// `delivered` is always a prefix of one attempt's text, never of a mixture.
 #[derive(Debug, Default)]
-pub struct Spliced {
+pub struct ResponseText {
     /// Text that the caller has.
     delivered: String,
     /// Text of the current attempt.
     text: String,
 }
 
-impl Spliced {
+impl ResponseText {
     /// Starts the next attempt.
     pub fn next_attempt(&mut self) {
         self.text.clear();
@@ -31,7 +31,7 @@
     /// Takes the part of the attempt's answer that starts at `offset`.
     ///
     /// `None` if bytes before the part are missing.
-    pub fn accept(&mut self, offset: u64, part: &str) -> Option<Splice<'_>> {
+    pub fn accept(&mut self, offset: u64, part: &str) -> Option<TextUpdate<'_>> {
         if offset != self.text.len() as u64 {
             return None;
         }
@@ -39,7 +39,7 @@
         let from = self.delivered.len();
         if self.text.len() <= from {
             if self.delivered.starts_with(&self.text) {
-                return Some(Splice::Nothing);
+                return Some(TextUpdate::Unchanged);
             }
             return Some(self.restart());
         }
@@ -47,14 +47,14 @@
             return Some(self.restart());
         }
         self.delivered.push_str(&self.text[from..]);
-        Some(Splice::Append(&self.delivered[from..]))
+        Some(TextUpdate::Append(&self.delivered[from..]))
     }
 
     /// Ends the attempt. One that ended before the caller's text did said
     /// something else.
-    pub fn end(&mut self) -> Splice<'_> {
+    pub fn end(&mut self) -> TextUpdate<'_> {
         if self.delivered.len() == self.text.len() {
-            Splice::Nothing
+            TextUpdate::Unchanged
         } else {
             self.restart()
         }
@@ -67,8 +67,8 @@
     }
 
     /// Takes back what the caller has and begins with the attempt's text.
-    fn restart(&mut self) -> Splice<'_> {
+    fn restart(&mut self) -> TextUpdate<'_> {
         self.delivered.clone_from(&self.text);
-        Splice::Restart(&self.delivered)
+        TextUpdate::Restart(&self.delivered)
     }
 }
--- a/crates/sapphirequayd/src/request/transcript.rs
+++ b/crates/sapphirequayd/src/request/stream_tracker.rs
@@ -1,7 +1,7 @@
 //! Decides what to do with each thing that an upstream's connection says.
 //!
 //! A connection can fall silent, break, repeat events or skip some. The
-//! transcript passes each token on once and in order, asks for a fresh
+//! tracker passes each token on once and in order, asks for a fresh
 //! connection where the old one is of no use, and ends the attempt within
 //! bounded time and at its reservation.
 
@@ -13,7 +13,7 @@
 
 /// Limits of one attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct TranscriptSettings {
+pub struct StreamTrackerSettings {
     /// Whether the upstream may see the request more than once.
     pub idempotent: bool,
     /// Tokens after which the answer is cut.
@@ -23,27 +23,27 @@
     /// The attempt ends then at the latest.
     pub deadline: Time,
     /// Longest time without a token.
-    pub quiet_limit: Duration,
+    pub token_timeout: Duration,
     /// Connections that may break in a row without a token in between.
-    pub max_breaks: u32,
+    pub max_disconnects: u32,
 }
 
-impl Default for TranscriptSettings {
+impl Default for StreamTrackerSettings {
     fn default() -> Self {
         Self {
             idempotent: true,
             max_output: Tokens(1_024),
             prompt: Tokens(0),
             deadline: Time::from_millis(600_000),
-            quiet_limit: Duration::from_mins(1),
-            max_breaks: 3,
+            token_timeout: Duration::from_mins(1),
+            max_disconnects: 3,
         }
     }
 }
 
 /// What a connection to the upstream says.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Input {
+pub enum UpstreamEvent {
     /// Part of the answer.
     Text {
         /// Tokens of the answer up to and with this text.
@@ -63,7 +63,7 @@
         usage: Usage,
     },
     /// Nothing arrived for the read timeout.
-    Silent,
+    ReadTimeout,
     /// The connection ended early.
     Broken,
     /// No connection could be made.
@@ -81,9 +81,9 @@
 
 /// What to do next.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Step {
+pub enum StreamAction {
     /// Pass text on that begins at the byte `offset` of the answer.
-    Pass {
+    Forward {
         /// Bytes before the text.
         offset: u64,
         /// Tokens in the text.
@@ -96,11 +96,11 @@
     /// Go on with a fresh connection after this many tokens.
     Resume(u64),
     /// Send the request again; the upstream never had it.
-    Repeat,
+    Resend,
     /// The answer is whole.
     End(FinishReason, Usage),
     /// The answer is cut at the reservation: stop the upstream.
-    Cut(Usage),
+    Truncate(Usage),
     /// The attempt never ran.
     NotRun(Error),
     /// The attempt failed: stop the upstream if it can be reached.
@@ -109,8 +109,8 @@
 
 /// What one attempt has passed on.
 #[derive(Debug)]
-pub struct Transcript {
-    settings: TranscriptSettings,
+pub struct StreamTracker {
+    settings: StreamTrackerSettings,
     /// Tokens passed on.
     tokens: u64,
     /// Bytes passed on.
@@ -127,10 +127,10 @@
     blameless: bool,
 }
 
-impl Transcript {
+impl StreamTracker {
     /// An attempt that begins at `now`.
     #[must_use]
-    pub const fn new(settings: TranscriptSettings, now: Time) -> Self {
+    pub const fn new(settings: StreamTrackerSettings, now: Time) -> Self {
         Self {
             settings,
             tokens: 0,
@@ -151,56 +151,56 @@
 
     /// Takes what a connection says.
     #[must_use]
-    pub fn take(&mut self, now: Time, input: Input) -> Step {
+    pub fn handle(&mut self, now: Time, input: UpstreamEvent) -> StreamAction {
         if now >= self.settings.deadline {
-            return Step::Fail(Error::new(
+            return StreamAction::Fail(Error::new(
                 ErrorKind::DeadlineExceeded,
                 "the deadline passed while the upstream ran",
             ));
         }
-        if input != Input::Unreachable {
+        if input != UpstreamEvent::Unreachable {
             self.sent = true;
         }
         match input {
-            Input::Text {
+            UpstreamEvent::Text {
                 position,
                 tokens,
                 text,
             } => self.text(now, position, tokens, text),
-            Input::End {
+            UpstreamEvent::End {
                 position,
                 finish,
                 usage,
             } => self.end(position, finish, usage),
-            Input::Silent => self.silent(now),
-            Input::Broken => self.broken(),
-            Input::Unreachable => self.unreachable(),
-            Input::Unknown => self.unknown(),
-            Input::Rejected { error, fault } => {
+            UpstreamEvent::ReadTimeout => self.silent(now),
+            UpstreamEvent::Broken => self.broken(),
+            UpstreamEvent::Unreachable => self.unreachable(),
+            UpstreamEvent::Unknown => self.unknown(),
+            UpstreamEvent::Rejected { error, fault } => {
                 self.blameless = !fault;
-                Step::Fail(error)
+                StreamAction::Fail(error)
             }
         }
     }
 
     /// Passes text on if it is the next.
-    fn text(&mut self, now: Time, position: u64, tokens: u32, text: Box<str>) -> Step {
+    fn text(&mut self, now: Time, position: u64, tokens: u32, text: Box<str>) -> StreamAction {
         if position <= self.tokens {
-            return Step::Read;
+            return StreamAction::Read;
         }
         if position.checked_sub(u64::from(tokens)) != Some(self.tokens) {
             // Events are missing, or the text overlaps what was passed on.
             return self.broken();
         }
         if position > self.settings.max_output.0 {
-            return Step::Cut(self.cut());
+            return StreamAction::Truncate(self.cut());
         }
         let offset = self.bytes;
         self.tokens = position;
         self.bytes += text.len() as u64;
         self.moved = now;
         self.breaks = 0;
-        Step::Pass {
+        StreamAction::Forward {
             offset,
             tokens,
             text,
@@ -208,48 +208,48 @@
     }
 
     /// Ends the answer unless tokens are missing.
-    fn end(&mut self, position: Option<u64>, finish: FinishReason, usage: Usage) -> Step {
+    fn end(&mut self, position: Option<u64>, finish: FinishReason, usage: Usage) -> StreamAction {
         match position {
             Some(position) if position > self.tokens => self.broken(),
-            _ => Step::End(finish, usage),
+            _ => StreamAction::End(finish, usage),
         }
     }
 
     /// Goes on with a fresh connection until the upstream was quiet too long.
-    fn silent(&mut self, now: Time) -> Step {
-        if now.since(self.moved) >= self.settings.quiet_limit {
-            return Step::Fail(self.lost("the upstream was quiet for too long"));
+    fn silent(&mut self, now: Time) -> StreamAction {
+        if now.since(self.moved) >= self.settings.token_timeout {
+            return StreamAction::Fail(self.lost("the upstream was quiet for too long"));
         }
-        Step::Resume(self.tokens)
+        StreamAction::Resume(self.tokens)
     }
 
     /// Goes on with a fresh connection, a few times.
-    fn broken(&mut self) -> Step {
+    fn broken(&mut self) -> StreamAction {
         self.breaks += 1;
-        if self.breaks > self.settings.max_breaks {
-            return Step::Fail(self.lost("connections to the upstream break"));
+        if self.breaks > self.settings.max_disconnects {
+            return StreamAction::Fail(self.lost("connections to the upstream break"));
         }
-        Step::Resume(self.tokens)
+        StreamAction::Resume(self.tokens)
     }
 
     /// Nothing listens: not run if no byte of the request was ever sent.
-    fn unreachable(&mut self) -> Step {
+    fn unreachable(&mut self) -> StreamAction {
         if self.sent {
-            return Step::Fail(self.lost("the upstream can't be reached any more"));
+            return StreamAction::Fail(self.lost("the upstream can't be reached any more"));
         }
-        Step::NotRun(Error::new(
+        StreamAction::NotRun(Error::new(
             ErrorKind::NoUpstream,
             "the upstream takes no connections",
         ))
     }
 
     /// The upstream never had the request, or has lost it.
-    fn unknown(&mut self) -> Step {
+    fn unknown(&mut self) -> StreamAction {
         if self.settings.idempotent && self.tokens == 0 && !self.repeated {
             self.repeated = true;
-            return Step::Repeat;
+            return StreamAction::Resend;
         }
-        Step::Fail(self.lost("the upstream has lost the stream"))
+        StreamAction::Fail(self.lost("the upstream has lost the stream"))
     }
 
     /// The usage of an answer that is cut.
--- a/crates/sapphirequayd/tests/callers.rs
+++ b/crates/sapphirequayd/tests/callers.rs
@@ -4,8 +4,8 @@
 
 use {
     common::{
-        KEY, LIMIT, Running, before_engine, completion, connect, engine, exchange, get, post,
-        post_once, wait_for,
+        Daemons, KEY, WAIT_TIMEOUT, completion, connect, engine, exchange, get, post, post_once,
+        sidecar_for_engine, wait_for,
     },
     quay_standin::{Engine, EngineSettings},
     sapphirequayd::EntrySettings,
@@ -19,10 +19,10 @@
 /// Time limits short enough for a test.
 const SHORT_MS: u64 = 300;
 
-fn start(engine_settings: EngineSettings, entry: EntrySettings) -> (Running, Engine) {
+fn start(engine_settings: EngineSettings, entry: EntrySettings) -> (Daemons, Engine) {
     let engine = engine(engine_settings);
-    let running = Running::start(before_engine(engine.addr()), entry);
-    (running, engine)
+    let daemons = Daemons::start(sidecar_for_engine(engine.addr()), entry);
+    (daemons, engine)
 }
 
 fn impatient() -> EntrySettings {
@@ -41,7 +41,7 @@
 
 #[test]
 fn bad_input_gets_a_clear_error() {
-    let (running, _engine) = start(EngineSettings::default(), EntrySettings::default());
+    let (daemons, _engine) = start(EngineSettings::default(), EntrySettings::default());
     let messages = r#""messages":[{"role":"user","content":"hi"}]"#;
     let cases = [
         (KEY, "{".to_owned(), 400, "bad_request"),
@@ -72,7 +72,7 @@
         ("wrong", completion(true), 401, "unauthorized"),
     ];
     for (key, body, status, kind) in cases {
-        let (got, text) = post_once(running.addr(), key, &body);
+        let (got, text) = post_once(daemons.addr(), key, &body);
         assert_eq!(got, status, "{text}");
         assert!(text.contains(&format!(r#""kind":"{kind}""#)), "{text}");
         assert!(text.contains(r#""not_run":true"#), "{text}");
@@ -81,33 +81,33 @@
 
 #[test]
 fn unknown_paths_and_methods_are_told_apart() {
-    let (running, _engine) = start(EngineSettings::default(), EntrySettings::default());
-    let (status, text) = get(running.addr(), "/v1/chat/completions");
+    let (daemons, _engine) = start(EngineSettings::default(), EntrySettings::default());
+    let (status, text) = get(daemons.addr(), "/v1/chat/completions");
     assert_eq!((status, text.contains("method_not_allowed")), (405, true));
-    let (status, text) = get(running.addr(), "/nowhere");
+    let (status, text) = get(daemons.addr(), "/nowhere");
     assert_eq!((status, text.contains("not_found")), (404, true));
 }
 
 #[test]
 fn requests_are_numbered_and_counted() {
-    let (running, _engine) = start(EngineSettings::default(), EntrySettings::default());
+    let (daemons, _engine) = start(EngineSettings::default(), EntrySettings::default());
     let number = || {
-        let response = ureq::get(&format!("http://{}/healthz", running.addr())).call();
+        let response = ureq::get(&format!("http://{}/healthz", daemons.addr())).call();
         let response = response.expect("answer");
         let number = response.header("sapphirequay-request").expect("number");
         number.parse::<u64>().expect("a number")
     };
     let first = number();
     assert!(number() > first);
-    let (status, text) = get(running.addr(), "/metrics");
+    let (status, text) = get(daemons.addr(), "/metrics");
     assert_eq!(status, 200);
     assert!(text.contains("sapphirequay_requests_total{"), "{text}");
 }
 
 #[test]
 fn one_connection_serves_several_requests() {
-    let (running, _engine) = start(EngineSettings::default(), impatient());
-    let mut stream = connect(running.addr());
+    let (daemons, _engine) = start(EngineSettings::default(), impatient());
+    let mut stream = connect(daemons.addr());
     let req = "GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n";
     let text = exchange(&mut stream, format!("{req}{req}").as_bytes());
     assert_eq!(text.matches(r#""status":"ok""#).count(), 2, "{text}");
@@ -115,8 +115,8 @@
 
 #[test]
 fn a_large_body_is_refused_before_it_is_read() {
-    let (running, _engine) = start(EngineSettings::default(), EntrySettings::default());
-    let mut stream = connect(running.addr());
+    let (daemons, _engine) = start(EngineSettings::default(), EntrySettings::default());
+    let mut stream = connect(daemons.addr());
     // Not one byte of the body is sent: the length is enough.
     let head = raw_post(&format!("content-length: {}\r\n", 20 << 20));
     stream.write_all(&head).expect("head");
@@ -132,8 +132,8 @@
         max_body_bytes: 1_000,
         ..impatient()
     };
-    let (running, _engine) = start(EngineSettings::default(), settings);
-    let mut stream = connect(running.addr());
+    let (daemons, _engine) = start(EngineSettings::default(), settings);
+    let mut stream = connect(daemons.addr());
     let mut req = raw_post("transfer-encoding: chunked\r\n");
     req.extend_from_slice(b"4000\r\n");
     req.extend_from_slice(&[b'x'; 0x4000]);
@@ -144,30 +144,30 @@
 
 #[test]
 fn a_length_beyond_memory_does_not_end_the_process() {
-    let (running, _engine) = start(EngineSettings::default(), impatient());
-    let mut stream = connect(running.addr());
+    let (daemons, _engine) = start(EngineSettings::default(), impatient());
+    let mut stream = connect(daemons.addr());
     let head = raw_post(&format!("content-length: {}\r\n", 1_u64 << 60));
     stream.write_all(&head).expect("head");
     wait_for("the request is abandoned", || {
-        get(running.addr(), "/metrics")
+        get(daemons.addr(), "/metrics")
             .1
             .contains("sapphirequay_requests_abandoned_total")
     });
-    assert_eq!(get(running.addr(), "/healthz").0, 200);
+    assert_eq!(get(daemons.addr(), "/healthz").0, 200);
 }
 
 #[test]
 fn a_caller_that_stops_in_the_head_is_given_up() {
-    let (running, _engine) = start(EngineSettings::default(), impatient());
-    let mut stream = connect(running.addr());
+    let (daemons, _engine) = start(EngineSettings::default(), impatient());
+    let mut stream = connect(daemons.addr());
     let text = exchange(&mut stream, b"POST /v1/chat/completions HTTP/1.1\r\nauthor");
     assert_eq!(text, "", "the connection is closed without an answer");
 }
 
 #[test]
 fn a_caller_that_stops_in_the_body_is_told_so() {
-    let (running, _engine) = start(EngineSettings::default(), impatient());
-    let mut stream = connect(running.addr());
+    let (daemons, _engine) = start(EngineSettings::default(), impatient());
+    let mut stream = connect(daemons.addr());
     let mut req = raw_post("content-length: 5000\r\n");
     req.extend_from_slice(b"{\"model\":");
     let text = exchange(&mut stream, &req);
@@ -177,10 +177,10 @@
 
 #[test]
 fn an_idle_entry_answers_after_ten_timeouts() {
-    let (running, _engine) = start(EngineSettings::default(), impatient());
+    let (daemons, _engine) = start(EngineSettings::default(), impatient());
     thread::sleep(Duration::from_millis(SHORT_MS * 10));
-    assert_eq!(get(running.addr(), "/healthz").0, 200);
-    assert_eq!(post(running.addr(), KEY, &completion(false)).0, 200);
+    assert_eq!(get(daemons.addr(), "/healthz").0, 200);
+    assert_eq!(post(daemons.addr(), KEY, &completion(false)).0, 200);
 }
 
 #[test]
@@ -191,29 +191,29 @@
         answer_tokens: 200_000,
         ..EngineSettings::default()
     };
-    let (running, _engine) = start(many, impatient());
+    let (daemons, _engine) = start(many, impatient());
     assert_eq!(
         post(
-            running.addr(),
+            daemons.addr(),
             KEY,
             &completion(false).replace("false", "false,\"max_tokens\":1")
         )
         .0,
         200
     );
-    let mut stream = connect(running.addr());
+    let mut stream = connect(daemons.addr());
     let body = completion(true).replace("true", "true,\"max_tokens\":200000");
     let mut req = raw_post(&format!("content-length: {}\r\n", body.len()));
     req.extend_from_slice(body.as_bytes());
     stream.write_all(&req).expect("request");
     wait_for("the call begins", || {
-        running.entry.lifecycle().in_progress() == 1
+        daemons.entry.lifecycle().in_progress() == 1
     });
     wait_for("the call ends", || {
-        running.entry.lifecycle().in_progress() == 0
+        daemons.entry.lifecycle().in_progress() == 0
     });
     wait_for("the upstream is free", || {
-        running.sidecar.lifecycle().in_progress() == 0
+        daemons.sidecar.lifecycle().in_progress() == 0
     });
     drop(stream);
 }
@@ -221,18 +221,18 @@
 #[test]
 fn a_full_entry_refuses_at_once() {
     let slow = EngineSettings {
-        prefill: LIMIT,
+        prefill: WAIT_TIMEOUT,
         ..EngineSettings::default()
     };
     let settings = EntrySettings {
         max_requests: 1,
         ..EntrySettings::default()
     };
-    let (running, _engine) = start(slow, settings);
-    let addr = running.addr();
+    let (daemons, _engine) = start(slow, settings);
+    let addr = daemons.addr();
     thread::spawn(move || post(addr, KEY, &completion(true)));
     wait_for("a call is open", || {
-        running.sidecar.lifecycle().in_progress() == 1
+        daemons.sidecar.lifecycle().in_progress() == 1
     });
     let (status, text) = post_once(addr, KEY, &completion(true));
     assert_eq!(status, 503);
@@ -242,11 +242,11 @@
 
 #[test]
 fn a_leaving_entry_says_so() {
-    let (running, _engine) = start(EngineSettings::default(), EntrySettings::default());
-    running.entry.lifecycle().drain();
-    let (status, text) = get(running.addr(), "/healthz");
+    let (daemons, _engine) = start(EngineSettings::default(), EntrySettings::default());
+    daemons.entry.lifecycle().drain();
+    let (status, text) = get(daemons.addr(), "/healthz");
     assert_eq!((status, text.contains("draining")), (503, true));
-    let response = ureq::post(&format!("http://{}/v1/chat/completions", running.addr()))
+    let response = ureq::post(&format!("http://{}/v1/chat/completions", daemons.addr()))
         .send_string(&completion(true));
     let Err(ureq::Error::Status(503, response)) = response else {
         panic!("{response:?}");
@@ -259,14 +259,14 @@
 
 #[test]
 fn every_process_shows_its_metrics_and_health() {
-    let (running, _engine) = start(EngineSettings::default(), EntrySettings::default());
-    assert_eq!(post(running.addr(), KEY, &completion(false)).0, 200);
-    let sidecar = running.sidecar.monitor_addr().expect("address");
+    let (daemons, _engine) = start(EngineSettings::default(), EntrySettings::default());
+    assert_eq!(post(daemons.addr(), KEY, &completion(false)).0, 200);
+    let sidecar = daemons.sidecar.monitor_addr().expect("address");
     let (status, text) = get(sidecar, "/metrics");
     assert_eq!(status, 200);
     assert!(text.contains("sapphirequay_attempts_total{"), "{text}");
     assert_eq!(get(sidecar, "/healthz").0, 200);
     assert_eq!(get(sidecar, "/v1/programs").0, 404);
-    running.sidecar.lifecycle().drain();
+    daemons.sidecar.lifecycle().drain();
     assert_eq!(get(sidecar, "/healthz").0, 503);
 }
--- a/crates/sapphirequayd/tests/common/cluster.rs
+++ b/crates/sapphirequayd/tests/common/cluster.rs
@@ -1,7 +1,7 @@
 //! Two entries before an engine and a service, and a caller.
 
 use {
-    super::{CountingService, any_port, before_engine, document, settings, wait_for},
+    super::{CountingService, any_port, document, settings, sidecar_for_engine, wait_for},
     quay_link::{DevelopmentKeys, LinkRole},
     quay_standin::{Engine, EngineSettings},
     sapphirequayd::{
@@ -13,7 +13,7 @@
 
 /// A request of a caller.
 #[derive(Debug, Clone, Copy)]
-pub struct Ask<'a> {
+pub struct TestRequest<'a> {
     pub method: &'a str,
     pub path: &'a str,
     pub account: &'a str,
@@ -21,7 +21,7 @@
     pub body: &'a str,
 }
 
-impl Default for Ask<'_> {
+impl Default for TestRequest<'_> {
     fn default() -> Self {
         Self {
             method: "POST",
@@ -33,7 +33,7 @@
     }
 }
 
-impl Ask<'_> {
+impl TestRequest<'_> {
     /// Sends the request once; `None` if the entry has gone.
     pub fn try_send(&self, entry: SocketAddr) -> Option<(u16, String)> {
         let mut req = ureq::request(self.method, &format!("http://{entry}{}", self.path))
@@ -120,7 +120,7 @@
             };
             Daemon::start(&settings, identity(LinkRole::Sidecar)).expect("sidecar")
         };
-        let engine_sidecar = before_engine(engine.addr());
+        let engine_sidecar = sidecar_for_engine(engine.addr());
         let service_sidecar = SidecarSettings {
             upstream: "orders-1".into(),
             addr: service.addr(),
@@ -150,12 +150,12 @@
             _daemons: daemons,
         };
         for entry in cluster.entries {
-            let warm = Ask::default().send_when_known(entry);
+            let warm = TestRequest::default().send_when_known(entry);
             assert_eq!(warm.0, 200, "{}", warm.1);
-            let warm = Ask {
+            let warm = TestRequest {
                 path: "/v1/services/orders",
                 body: "warm",
-                ..Ask::default()
+                ..TestRequest::default()
             };
             assert_eq!(warm.send_when_known(entry).0, 200);
         }
--- a/crates/sapphirequayd/tests/common/mod.rs
+++ b/crates/sapphirequayd/tests/common/mod.rs
@@ -7,7 +7,7 @@
 mod processes;
 
 pub use {
-    cluster::{Ask, Cluster, field, kind},
+    cluster::{Cluster, TestRequest, field, kind},
     counting_service::CountingService,
     ports::free_port,
     processes::{Processes, Role},
@@ -30,7 +30,7 @@
 };
 
 /// Longest wait for anything that has to come to pass.
-pub const LIMIT: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Bearer key of the only account.
 pub const KEY: &str = "k";
@@ -72,14 +72,14 @@
 }
 
 /// Every role, each as a daemon of its own, before one upstream.
-pub struct Running {
+pub struct Daemons {
     pub entry: Daemon,
     pub ledger: Daemon,
     pub sidecar: Daemon,
     pub keys: DevelopmentKeys,
 }
 
-impl Running {
+impl Daemons {
     /// Starts the roles before the upstream that `sidecar` names.
     pub fn start(sidecar: SidecarSettings, entry: EntrySettings) -> Self {
         let keys = DevelopmentKeys::generate().expect("keys");
@@ -103,16 +103,16 @@
             ..settings("entry-1", &ledgers)
         };
         let entry = Daemon::start(&entry, identity(LinkRole::Entry)).expect("entry");
-        let running = Self {
+        let daemons = Self {
             entry,
             ledger,
             sidecar,
             keys,
         };
         wait_for("a configuration is in force", || {
-            post_once(running.addr(), "wrong", "").0 == 401
+            post_once(daemons.addr(), "wrong", "").0 == 401
         });
-        running
+        daemons
     }
 
     /// Address for callers.
@@ -122,7 +122,7 @@
 }
 
 /// A sidecar's settings before the engine at `addr`, which serves model `m`.
-pub fn before_engine(addr: SocketAddr) -> SidecarSettings {
+pub fn sidecar_for_engine(addr: SocketAddr) -> SidecarSettings {
     SidecarSettings {
         upstream: "engine-1".into(),
         addr,
@@ -148,7 +148,7 @@
     loop {
         let (status, text) = post_once(addr, key, body);
         let starting = [r#""kind":"no_upstream""#, r#""kind":"config_stale""#];
-        if !starting.iter().any(|kind| text.contains(kind)) || started.elapsed() > LIMIT {
+        if !starting.iter().any(|kind| text.contains(kind)) || started.elapsed() > WAIT_TIMEOUT {
             return (status, text);
         }
         thread::sleep(Duration::from_millis(50));
@@ -196,7 +196,10 @@
 pub fn wait_for(what: &str, mut done: impl FnMut() -> bool) {
     let started = Instant::now();
     while !done() {
-        assert!(started.elapsed() < LIMIT, "{what} did not come to pass");
+        assert!(
+            started.elapsed() < WAIT_TIMEOUT,
+            "{what} did not come to pass"
+        );
         thread::sleep(Duration::from_millis(20));
     }
 }
@@ -204,7 +207,9 @@
 /// A raw connection on which waits are bounded.
 pub fn connect(addr: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(addr).expect("connection");
-    stream.set_read_timeout(Some(LIMIT)).expect("timeout");
+    stream
+        .set_read_timeout(Some(WAIT_TIMEOUT))
+        .expect("timeout");
     stream
 }
 
@@ -217,6 +222,6 @@
     while let Ok(read @ 1..) = stream.read(&mut piece) {
         text.extend_from_slice(&piece[..read]);
     }
-    assert!(started.elapsed() < LIMIT, "the peer did not close");
+    assert!(started.elapsed() < WAIT_TIMEOUT, "the peer did not close");
     String::from_utf8_lossy(&text).into_owned()
 }
--- a/crates/sapphirequayd/tests/control.rs
+++ b/crates/sapphirequayd/tests/control.rs
@@ -3,7 +3,10 @@
 mod common;
 
 use {
-    common::{KEY, LIMIT, Running, before_engine, completion, engine, post, post_once, wait_for},
+    common::{
+        Daemons, KEY, WAIT_TIMEOUT, completion, engine, post, post_once, sidecar_for_engine,
+        wait_for,
+    },
     quay_config::{Action, ChangeId, Poll, SectionRevision},
     quay_link::{LinkError, LinkRole, Links},
     quay_members::{Heartbeat, MembersRequest},
@@ -22,13 +25,13 @@
     },
 };
 
-fn start(settings: EngineSettings) -> (Running, Engine) {
+fn start(settings: EngineSettings) -> (Daemons, Engine) {
     let engine = engine(settings);
-    let running = Running::start(before_engine(engine.addr()), EntrySettings::default());
+    let running = Daemons::start(sidecar_for_engine(engine.addr()), EntrySettings::default());
     (running, engine)
 }
 
-fn links(running: &Running, role: LinkRole) -> Links {
+fn links(running: &Daemons, role: LinkRole) -> Links {
     Links::connect_only(running.keys.identity(role).expect("identity")).expect("links")
 }
 
@@ -181,7 +184,10 @@
     );
     let began = Instant::now();
     while post_once(addr, KEY, &completion(false)).0 != 200 {
-        assert!(began.elapsed() < LIMIT, "the upstream did not come back");
+        assert!(
+            began.elapsed() < WAIT_TIMEOUT,
+            "the upstream did not come back"
+        );
         thread::sleep(Duration::from_millis(50));
     }
 }
--- a/crates/sapphirequayd/tests/kill.rs
+++ b/crates/sapphirequayd/tests/kill.rs
@@ -6,7 +6,7 @@
 mod common;
 
 use {
-    common::{Ask, CountingService, Processes, Role, kind, wait_for},
+    common::{CountingService, Processes, Role, TestRequest, kind, wait_for},
     std::{net::SocketAddr, thread, time::Duration},
 };
 
@@ -18,12 +18,12 @@
     ]
 }
 
-fn order<'a>(headers: &'a [(&'a str, &'a str)], body: &'a str) -> Ask<'a> {
-    Ask {
+fn order<'a>(headers: &'a [(&'a str, &'a str)], body: &'a str) -> TestRequest<'a> {
+    TestRequest {
         path: "/v1/services/orders",
         headers,
         body,
-        ..Ask::default()
+        ..TestRequest::default()
     }
 }
 
--- a/crates/sapphirequayd/tests/permits.rs
+++ b/crates/sapphirequayd/tests/permits.rs
@@ -7,7 +7,7 @@
         Attempt, CallEvent, Epoch, GroupId, Incarnation, LogIndex, Permit, PermitId, PermitStatus,
         RequestKey, Tokens, UpstreamId,
     },
-    sapphirequayd::{Splice, Spliced},
+    sapphirequayd::{ResponseText, TextUpdate},
 };
 
 const UPSTREAM: UpstreamId = UpstreamId(1);
@@ -107,11 +107,11 @@
 }
 
 /// Does to the caller's text what a splice says.
-fn take(has: &mut String, splice: Splice<'_>) {
+fn take(has: &mut String, splice: TextUpdate<'_>) {
     match splice {
-        Splice::Nothing => {}
-        Splice::Append(text) => has.push_str(text),
-        Splice::Restart(text) => text.clone_into(has),
+        TextUpdate::Unchanged => {}
+        TextUpdate::Append(text) => has.push_str(text),
+        TextUpdate::Restart(text) => text.clone_into(has),
     }
 }
 
@@ -172,7 +172,7 @@
         second in "[ab]{0,6}",
         cut in 0..7usize,
     ) {
-        let mut spliced = Spliced::default();
+        let mut spliced = ResponseText::default();
         let mut has = String::new();
         for (attempt, length) in [(&first, cut.min(first.len())), (&second, second.len())] {
             spliced.next_attempt();
--- a/crates/sapphirequayd/tests/programs.rs
+++ b/crates/sapphirequayd/tests/programs.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use {
-    common::{Ask, Cluster, field, kind, wait_for},
+    common::{Cluster, TestRequest, field, kind, wait_for},
     quay_standin::{EngineSettings, model::ModelSettings},
     std::{net::SocketAddr, thread, time::Duration},
 };
@@ -12,11 +12,11 @@
 
 /// Creates a program and returns its id.
 fn create(entry: SocketAddr, key: &str, body: &str) -> String {
-    let (status, text) = Ask {
+    let (status, text) = TestRequest {
         path: "/v1/programs",
         headers: &[("Idempotency-Key", key)],
         body,
-        ..Ask::default()
+        ..TestRequest::default()
     }
     .send(entry);
     assert_eq!(status, 201, "{text}");
@@ -25,10 +25,10 @@
 
 fn show(entry: SocketAddr, id: &str) -> String {
     let path = format!("/v1/programs/{id}");
-    let (status, text) = Ask {
+    let (status, text) = TestRequest {
         method: "GET",
         path: &path,
-        ..Ask::default()
+        ..TestRequest::default()
     }
     .send(entry);
     assert_eq!(status, 200, "{text}");
@@ -38,14 +38,14 @@
 /// Makes call `number` of a program.
 fn turn(entry: SocketAddr, program: &str, number: &str) -> (u16, String) {
     let key = format!("{program}-{number}");
-    Ask {
+    TestRequest {
         headers: &[
             ("Sapphirequay-Program", program),
             ("Sapphirequay-Call", number),
             ("Idempotency-Key", &key),
         ],
         body: TURN,
-        ..Ask::default()
+        ..TestRequest::default()
     }
     .send(entry)
 }
@@ -67,7 +67,7 @@
 
     let (status, first) = turn(one, &root, "1");
     assert_eq!(status, 200, "{first}");
-    let tool = Ask {
+    let tool = TestRequest {
         path: "/v1/services/orders",
         headers: &[
             ("Sapphirequay-Program", &root),
@@ -75,7 +75,7 @@
             ("Idempotency-Key", "order"),
         ],
         body: "12 crates",
-        ..Ask::default()
+        ..TestRequest::default()
     };
     let (status, ordered) = tool.send(two);
     assert_eq!((status, &*ordered), (200, "12 crates run 1"));
@@ -87,10 +87,10 @@
     assert_eq!(child, format!("{root}.1"));
     assert_eq!(turn(one, &child, "1").0, 200);
     let too_much = format!(r#"{{"parent":"{root}","budget_tokens":900}}"#);
-    let refused = Ask {
+    let refused = TestRequest {
         path: "/v1/programs",
         body: &too_much,
-        ..Ask::default()
+        ..TestRequest::default()
     }
     .send(one);
     assert_eq!((refused.0, &*kind(&refused.1)), (402, "budget_exceeded"));
@@ -108,10 +108,10 @@
         "{status}"
     );
     assert_eq!(field(&status, "reserved_tokens"), 600);
-    let delete = Ask {
+    let delete = TestRequest {
         method: "DELETE",
         path: &format!("/v1/programs/{root}"),
-        ..Ask::default()
+        ..TestRequest::default()
     };
     assert_eq!(delete.send(one).0, 200);
     assert_eq!(field(&show(two, &child), "ended"), true);
@@ -153,14 +153,14 @@
         .map(|slot| {
             let entry = cluster.entries[slot % 2];
             thread::spawn(move || {
-                Ask {
+                TestRequest {
                     path: "/v1/services/orders",
                     headers: &[
                         ("Idempotency-Key", "same"),
                         ("Sapphirequay-Idempotent", "false"),
                     ],
                     body: "one truck",
-                    ..Ask::default()
+                    ..TestRequest::default()
                 }
                 .send(entry)
             })
@@ -170,14 +170,14 @@
         let answer = sent.join().expect("thread");
         assert_eq!(answer, (200, "one truck run 1".to_owned()));
     }
-    let other = Ask {
+    let other = TestRequest {
         path: "/v1/services/orders",
         headers: &[
             ("Idempotency-Key", "same"),
             ("Sapphirequay-Idempotent", "false"),
         ],
         body: "two trucks",
-        ..Ask::default()
+        ..TestRequest::default()
     };
     assert_eq!(kind(&other.send(cluster.entries[0]).1), "conflict");
     assert_eq!(cluster.service.runs("two trucks"), 0);
@@ -186,10 +186,10 @@
 #[test]
 fn a_program_over_its_accounts_limits_is_told_which() {
     let cluster = Cluster::start(Duration::ZERO);
-    let (status, text) = Ask {
+    let (status, text) = TestRequest {
         path: "/v1/programs",
         body: r#"{"budget_tokens":10,"turns":4000000}"#,
-        ..Ask::default()
+        ..TestRequest::default()
     }
     .send(cluster.entries[0]);
     assert_eq!((status, &*kind(&text)), (403, "program_limit"));
@@ -207,10 +207,10 @@
     let before = show(one, &program);
     let path = format!("/v1/programs/{program}");
     let call = |headers: &[(&str, &str)], account: &str| {
-        let (_, text) = Ask {
+        let (_, text) = TestRequest {
             account,
             headers,
-            ..Ask::default()
+            ..TestRequest::default()
         }
         .send(two);
         assert!(text.contains(r#""not_run":true"#), "{text}");
@@ -240,26 +240,26 @@
         "bad_request"
     );
     for method in ["GET", "DELETE"] {
-        let strange = Ask {
+        let strange = TestRequest {
             method,
             path: &path,
             account: "key-b",
-            ..Ask::default()
+            ..TestRequest::default()
         };
         assert_eq!(kind(&strange.send(two).1), "forbidden");
     }
-    let wrong = Ask {
+    let wrong = TestRequest {
         path: "/v1/programs",
         body: r#"{"budget_tokens":-5}"#,
-        ..Ask::default()
+        ..TestRequest::default()
     };
     assert_eq!(kind(&wrong.send(two).1), "bad_request");
     let grab = format!(r#"{{"parent":"{program}","budget_tokens":1}}"#);
-    let grab = Ask {
+    let grab = TestRequest {
         path: "/v1/programs",
         account: "key-b",
         body: &grab,
-        ..Ask::default()
+        ..TestRequest::default()
     };
     assert_eq!(kind(&grab.send(two).1), "forbidden");
     assert_eq!(show(one, &program), before);
@@ -288,10 +288,10 @@
     let program = create(one, "long", r#"{"budget_tokens":100000}"#);
     let prompt = "a long history of one shop ".repeat(100);
     let body = TURN.replace(r#""hi""#, &format!("{prompt:?}"));
-    let call = Ask {
+    let call = TestRequest {
         headers: &[("Sapphirequay-Program", &program)],
         body: &body,
-        ..Ask::default()
+        ..TestRequest::default()
     };
     assert_eq!(call.send(one).0, 200);
     assert!(cached_blocks(&cluster) >= 10, "the prompt is cached");
--- a/crates/sapphirequayd/tests/transcripts.rs
+++ b/crates/sapphirequayd/tests/stream_tracker.rs
@@ -1,9 +1,9 @@
-//! The transcript passes each token on once and in order, whatever connections do.
+//! The tracker passes each token on once and in order, whatever connections do.
 
 use {
     proptest::prelude::*,
     quay_types::{ErrorKind, FinishReason, Time, Tokens},
-    sapphirequayd::{Input, Step, Transcript, TranscriptSettings, Usage},
+    sapphirequayd::{StreamAction, StreamTracker, StreamTrackerSettings, UpstreamEvent, Usage},
     std::time::Duration,
 };
 
@@ -31,24 +31,24 @@
     format!("w{number} ").into()
 }
 
-fn token(position: u64) -> Input {
-    Input::Text {
+fn token(position: u64) -> UpstreamEvent {
+    UpstreamEvent::Text {
         position,
         tokens: 1,
         text: word(position),
     }
 }
 
-fn end(position: u64) -> Input {
-    Input::End {
+fn end(position: u64) -> UpstreamEvent {
+    UpstreamEvent::End {
         position: Some(position),
         finish: FinishReason::Stop,
         usage: Usage::default(),
     }
 }
 
-fn settings() -> TranscriptSettings {
-    TranscriptSettings::default()
+fn settings() -> StreamTrackerSettings {
+    StreamTrackerSettings::default()
 }
 
 proptest! {
@@ -57,7 +57,7 @@
         tokens in 1..60_u64,
         faults in prop::collection::vec((1..12_u64, fault()), 0..12),
     ) {
-        let mut transcript = Transcript::new(settings(), Time::ZERO);
+        let mut tracker = StreamTracker::new(settings(), Time::ZERO);
         let mut faults = faults.into_iter();
         let mut answer = String::new();
         let mut next = 1_u64;
@@ -65,8 +65,8 @@
         for _ in 0..1_000 {
             let input = if until == 0 {
                 let input = match fault {
-                    Fault::Silent => Input::Silent,
-                    Fault::Broken => Input::Broken,
+                    Fault::Silent => UpstreamEvent::ReadTimeout,
+                    Fault::Broken => UpstreamEvent::Broken,
                     Fault::Repeats(back) => {
                         next = next.saturating_sub(back).max(1);
                         token(next)
@@ -84,22 +84,22 @@
                 token(next)
             };
             until = until.saturating_sub(1);
-            match transcript.take(Time::ZERO, input) {
-                Step::Pass { offset, text, tokens } => {
+            match tracker.handle(Time::ZERO, input) {
+                StreamAction::Forward { offset, text, tokens } => {
                     prop_assert_eq!(offset, answer.len() as u64);
                     prop_assert_eq!(tokens, 1);
                     answer.push_str(&text);
                     next += 1;
                 }
-                Step::Read => next += 1,
-                Step::Resume(seen) => next = seen + 1,
-                Step::End(..) => {
+                StreamAction::Read => next += 1,
+                StreamAction::Resume(seen) => next = seen + 1,
+                StreamAction::End(..) => {
                     let whole: String = (1..=tokens).map(word).collect();
                     prop_assert_eq!(answer, whole);
                     return Ok(());
                 }
                 // Connections that break too often end the attempt.
-                Step::Fail(err) => {
+                StreamAction::Fail(err) => {
                     prop_assert_eq!(err.kind, ErrorKind::UpstreamLost);
                     return Ok(());
                 }
@@ -111,13 +111,13 @@
 
     #[test]
     fn the_answer_never_passes_its_reservation(limit in 1..20_u64, tokens in 1..40_u64) {
-        let settings = TranscriptSettings { max_output: Tokens(limit), ..settings() };
-        let mut transcript = Transcript::new(settings, Time::ZERO);
+        let settings = StreamTrackerSettings { max_output: Tokens(limit), ..settings() };
+        let mut tracker = StreamTracker::new(settings, Time::ZERO);
         let mut passed = 0;
         for position in 1..=tokens {
-            match transcript.take(Time::ZERO, token(position)) {
-                Step::Pass { tokens, .. } => passed += u64::from(tokens),
-                Step::Cut(usage) => {
+            match tracker.handle(Time::ZERO, token(position)) {
+                StreamAction::Forward { tokens, .. } => passed += u64::from(tokens),
+                StreamAction::Truncate(usage) => {
                     prop_assert_eq!(usage.output, Tokens(limit));
                     break;
                 }
@@ -130,10 +130,10 @@
 
 #[test]
 fn a_connection_refused_at_first_is_not_run() {
-    let mut transcript = Transcript::new(settings(), Time::ZERO);
-    let step = transcript.take(Time::ZERO, Input::Unreachable);
+    let mut tracker = StreamTracker::new(settings(), Time::ZERO);
+    let step = tracker.handle(Time::ZERO, UpstreamEvent::Unreachable);
     assert!(
-        matches!(&step, Step::NotRun(err) if err.kind.not_run()),
+        matches!(&step, StreamAction::NotRun(err) if err.kind.not_run()),
         "{step:?}"
     );
 }
@@ -144,16 +144,16 @@
         (true, ErrorKind::UpstreamLost),
         (false, ErrorKind::OutcomeUnknown),
     ] {
-        for first in [token(1), Input::Silent, Input::Broken] {
-            let settings = TranscriptSettings {
+        for first in [token(1), UpstreamEvent::ReadTimeout, UpstreamEvent::Broken] {
+            let settings = StreamTrackerSettings {
                 idempotent,
                 ..settings()
             };
-            let mut transcript = Transcript::new(settings, Time::ZERO);
-            let _ = transcript.take(Time::ZERO, first.clone());
-            let step = transcript.take(Time::ZERO, Input::Unreachable);
+            let mut tracker = StreamTracker::new(settings, Time::ZERO);
+            let _ = tracker.handle(Time::ZERO, first.clone());
+            let step = tracker.handle(Time::ZERO, UpstreamEvent::Unreachable);
             assert!(
-                matches!(&step, Step::Fail(err) if err.kind == kind),
+                matches!(&step, StreamAction::Fail(err) if err.kind == kind),
                 "after {first:?}: {step:?}"
             );
         }
@@ -162,54 +162,60 @@
 
 #[test]
 fn a_request_that_got_lost_is_repeated_once_if_idempotent() {
-    let mut transcript = Transcript::new(settings(), Time::ZERO);
-    assert_eq!(transcript.take(Time::ZERO, Input::Silent), Step::Resume(0));
-    assert_eq!(transcript.take(Time::ZERO, Input::Unknown), Step::Repeat);
-    let step = transcript.take(Time::ZERO, Input::Unknown);
-    assert!(matches!(step, Step::Fail(_)), "{step:?}");
+    let mut tracker = StreamTracker::new(settings(), Time::ZERO);
+    assert_eq!(
+        tracker.handle(Time::ZERO, UpstreamEvent::ReadTimeout),
+        StreamAction::Resume(0)
+    );
+    assert_eq!(
+        tracker.handle(Time::ZERO, UpstreamEvent::Unknown),
+        StreamAction::Resend
+    );
+    let step = tracker.handle(Time::ZERO, UpstreamEvent::Unknown);
+    assert!(matches!(step, StreamAction::Fail(_)), "{step:?}");
 
-    let once = TranscriptSettings {
+    let once = StreamTrackerSettings {
         idempotent: false,
         ..settings()
     };
-    let mut transcript = Transcript::new(once, Time::ZERO);
-    let step = transcript.take(Time::ZERO, Input::Unknown);
+    let mut tracker = StreamTracker::new(once, Time::ZERO);
+    let step = tracker.handle(Time::ZERO, UpstreamEvent::Unknown);
     assert!(
-        matches!(&step, Step::Fail(err) if err.kind == ErrorKind::OutcomeUnknown),
+        matches!(&step, StreamAction::Fail(err) if err.kind == ErrorKind::OutcomeUnknown),
         "{step:?}"
     );
 }
 
 #[test]
 fn a_quiet_upstream_is_given_up_within_its_limit() {
-    let mut transcript = Transcript::new(settings(), Time::ZERO);
-    let limit = settings().quiet_limit;
-    let early = transcript.take(Time::ZERO + limit / 2, Input::Silent);
-    assert_eq!(early, Step::Resume(0));
-    let late = transcript.take(Time::ZERO + limit, Input::Silent);
-    assert!(matches!(late, Step::Fail(_)), "{late:?}");
+    let mut tracker = StreamTracker::new(settings(), Time::ZERO);
+    let limit = settings().token_timeout;
+    let early = tracker.handle(Time::ZERO + limit / 2, UpstreamEvent::ReadTimeout);
+    assert_eq!(early, StreamAction::Resume(0));
+    let late = tracker.handle(Time::ZERO + limit, UpstreamEvent::ReadTimeout);
+    assert!(matches!(late, StreamAction::Fail(_)), "{late:?}");
 }
 
 #[test]
 fn the_deadline_ends_an_attempt() {
-    let settings = TranscriptSettings {
+    let settings = StreamTrackerSettings {
         deadline: Time::from_millis(10),
         ..settings()
     };
-    let mut transcript = Transcript::new(settings, Time::ZERO);
-    let step = transcript.take(Time::from_millis(10), token(1));
+    let mut tracker = StreamTracker::new(settings, Time::ZERO);
+    let step = tracker.handle(Time::from_millis(10), token(1));
     assert!(
-        matches!(&step, Step::Fail(err) if err.kind == ErrorKind::DeadlineExceeded),
+        matches!(&step, StreamAction::Fail(err) if err.kind == ErrorKind::DeadlineExceeded),
         "{step:?}"
     );
 }
 
 #[test]
 fn an_end_before_its_last_token_is_not_believed() {
-    let mut transcript = Transcript::new(settings(), Time::ZERO);
-    let _ = transcript.take(Time::ZERO, token(1));
+    let mut tracker = StreamTracker::new(settings(), Time::ZERO);
+    let _ = tracker.handle(Time::ZERO, token(1));
     assert_eq!(
-        transcript.take(Time::ZERO + Duration::from_secs(1), end(3)),
-        Step::Resume(1)
+        tracker.handle(Time::ZERO + Duration::from_secs(1), end(3)),
+        StreamAction::Resume(1)
     );
 }
--- a/crates/sapphirequayd/tests/upstreams.rs
+++ b/crates/sapphirequayd/tests/upstreams.rs
@@ -4,7 +4,8 @@
 
 use {
     common::{
-        KEY, Running, before_engine, completion, engine, post, post_once, streamed_text, wait_for,
+        Daemons, KEY, completion, engine, post, post_once, sidecar_for_engine, streamed_text,
+        wait_for,
     },
     quay_standin::{Engine, EngineSettings},
     quay_types::{Time, UpstreamState},
@@ -17,10 +18,10 @@
     },
 };
 
-fn start(settings: EngineSettings) -> (Running, Engine) {
+fn start(settings: EngineSettings) -> (Daemons, Engine) {
     let engine = engine(settings);
-    let running = Running::start(before_engine(engine.addr()), EntrySettings::default());
-    (running, engine)
+    let daemons = Daemons::start(sidecar_for_engine(engine.addr()), EntrySettings::default());
+    (daemons, engine)
 }
 
 /// An engine whose answers last a few seconds.
@@ -44,8 +45,8 @@
 
 #[test]
 fn a_silent_connection_is_resumed_without_gap_or_repeat() {
-    let (running, engine) = start(slow());
-    let caller = post_aside(running.addr());
+    let (daemons, engine) = start(slow());
+    let caller = post_aside(daemons.addr());
     wait_for("the answer begins", || engine.counts().running == 1);
     thread::sleep(Duration::from_millis(300));
     engine.silence();
@@ -60,8 +61,8 @@
 
 #[test]
 fn a_dying_engine_ends_its_answers_and_is_announced_as_failing() {
-    let (running, engine) = start(slow());
-    let callers: Vec<_> = (0..4).map(|_| post_aside(running.addr())).collect();
+    let (daemons, engine) = start(slow());
+    let callers: Vec<_> = (0..4).map(|_| post_aside(daemons.addr())).collect();
     wait_for("the answers begin", || engine.counts().running == 4);
     engine.crash();
     for caller in callers {
@@ -69,11 +70,11 @@
         assert!(text.contains("upstream_lost"), "status {status}: {text}");
     }
     wait_for("the upstream is out", || {
-        let (status, text) = post_once(running.addr(), KEY, &completion(true));
+        let (status, text) = post_once(daemons.addr(), KEY, &completion(true));
         status == 503 && text.contains("no_upstream")
     });
     assert!(
-        post_once(running.addr(), KEY, &completion(true))
+        post_once(daemons.addr(), KEY, &completion(true))
             .1
             .contains(r#""not_run":true"#)
     );
@@ -88,12 +89,12 @@
     wait_for("the listener closes", || {
         std::net::TcpStream::connect(addr).is_err()
     });
-    let running = Running::start(before_engine(addr), EntrySettings::default());
+    let daemons = Daemons::start(sidecar_for_engine(addr), EntrySettings::default());
     wait_for("the sidecar is known", || {
-        let (status, text) = post_once(running.addr(), KEY, &completion(true));
+        let (status, text) = post_once(daemons.addr(), KEY, &completion(true));
         assert_eq!(status, 503, "{text}");
         assert!(text.contains(r#""not_run":true"#), "{text}");
-        let (_, metrics) = common::get(running.addr(), "/metrics");
+        let (_, metrics) = common::get(daemons.addr(), "/metrics");
         metrics.contains(r#"sapphirequay_attempts_total{outcome="no_upstream"}"#)
     });
 }
@@ -104,11 +105,11 @@
         answer_tokens: 100_000,
         ..slow()
     };
-    let (running, engine) = start(endless);
+    let (daemons, engine) = start(endless);
     let short = completion(false).replace("false", "false,\"max_tokens\":1");
-    assert_eq!(post(running.addr(), KEY, &short).0, 200);
+    assert_eq!(post(daemons.addr(), KEY, &short).0, 200);
     let body = completion(true).replace("true", "true,\"max_tokens\":100000");
-    let sent = ureq::post(&format!("http://{}/v1/chat/completions", running.addr()))
+    let sent = ureq::post(&format!("http://{}/v1/chat/completions", daemons.addr()))
         .set("authorization", &format!("Bearer {KEY}"))
         .set("sapphirequay-deadline-ms", "500")
         .send_string(&body);
@@ -119,11 +120,11 @@
 
 #[test]
 fn a_call_outlives_its_caller() {
-    let (running, engine) = start(slow());
-    let mut stream = common::connect(running.addr());
+    let (daemons, engine) = start(slow());
+    let mut stream = common::connect(daemons.addr());
     wait_for("the entry knows the upstream", || {
         let short = completion(false).replace("false", "false,\"max_tokens\":1");
-        post_once(running.addr(), KEY, &short).0 == 200
+        post_once(daemons.addr(), KEY, &short).0 == 200
     });
     let body = completion(true);
     let head = format!(
@@ -136,7 +137,7 @@
     let mut piece = [0; 256];
     assert!(stream.read(&mut piece).expect("answer") > 0);
     stream.shutdown(Shutdown::Both).expect("shutdown");
-    let again = ureq::post(&format!("http://{}/v1/chat/completions", running.addr()))
+    let again = ureq::post(&format!("http://{}/v1/chat/completions", daemons.addr()))
         .set("authorization", &format!("Bearer {KEY}"))
         .set("idempotency-key", "once")
         .send_string(&body);
@@ -151,8 +152,8 @@
         poison: Some("hi".into()),
         ..slow()
     };
-    let (running, _engine) = start(settings);
-    let (_, text) = post(running.addr(), KEY, &completion(true));
+    let (daemons, _engine) = start(settings);
+    let (_, text) = post(daemons.addr(), KEY, &completion(true));
     assert!(text.contains("upstream_lost"), "{text}");
     assert!(text.contains(r#""not_run":false"#), "{text}");
 }
--- a/crates/sapphirequayd/tests/whole_path.rs
+++ b/crates/sapphirequayd/tests/whole_path.rs
@@ -3,16 +3,16 @@
 mod common;
 
 use {
-    common::{KEY, Running, before_engine, completion, engine, post, streamed_text},
+    common::{Daemons, KEY, completion, engine, post, sidecar_for_engine, streamed_text},
     quay_standin::{Engine, EngineSettings},
     sapphirequayd::EntrySettings,
     serde_json::Value,
 };
 
-fn start() -> (Running, Engine) {
+fn start() -> (Daemons, Engine) {
     let engine = engine(EngineSettings::default());
-    let running = Running::start(before_engine(engine.addr()), EntrySettings::default());
-    (running, engine)
+    let daemons = Daemons::start(sidecar_for_engine(engine.addr()), EntrySettings::default());
+    (daemons, engine)
 }
 
 /// The events of a streamed answer.
@@ -26,8 +26,8 @@
 
 #[test]
 fn a_whole_answer_has_the_common_shape() {
-    let (running, _engine) = start();
-    let (status, text) = post(running.addr(), KEY, &completion(false));
+    let (daemons, _engine) = start();
+    let (status, text) = post(daemons.addr(), KEY, &completion(false));
     assert_eq!(status, 200, "{text}");
     let body: Value = serde_json::from_str(&text).expect("JSON");
     assert_eq!(body["object"], "chat.completion");
@@ -45,8 +45,8 @@
 
 #[test]
 fn a_streamed_answer_has_the_common_shape_and_a_checked_end() {
-    let (running, _engine) = start();
-    let (status, text) = post(running.addr(), KEY, &completion(true));
+    let (daemons, _engine) = start();
+    let (status, text) = post(daemons.addr(), KEY, &completion(true));
     assert_eq!(status, 200);
     assert!(text.ends_with("data: [DONE]\n\n"), "{text}");
     let events = events(&text);
@@ -63,10 +63,10 @@
 
 #[test]
 fn a_stream_tells_its_usage_if_asked() {
-    let (running, _engine) = start();
+    let (daemons, _engine) = start();
     let body = r#"{"model":"m","stream":true,"stream_options":{"include_usage":true},
         "messages":[{"role":"user","content":"hi"}]}"#;
-    let (_, text) = post(running.addr(), KEY, body);
+    let (_, text) = post(daemons.addr(), KEY, body);
     let events = events(&text);
     let last = events.last().expect("usage");
     assert_eq!(last["choices"], serde_json::json!([]));
