--- a/crates/sapphirequayd/src/gateway/control/host.rs
+++ b/crates/sapphirequayd/src/gateway/control/host.rs
@@ -17,7 +17,7 @@
             },
             meters,
         },
-        process::{ChangeError, Clock, GroupError, GroupMsg, Mailbox},
+        process::{Clock, GroupError, GroupMsg, Mailbox, MembershipChangeError},
         wire::LinkRequest,
     },
     quay_link::{LinkRole, Links},
@@ -459,7 +459,7 @@
     async fn propose_membership(
         &self,
         change: MembershipChange,
-    ) -> Option<Result<(), ChangeError>> {
+    ) -> Option<Result<(), MembershipChangeError>> {
         self.ask_group(|reply| GroupMsg::Change { change, reply })
             .await
     }
--- a/crates/sapphirequayd/src/lib.rs
+++ b/crates/sapphirequayd/src/lib.rs
@@ -26,11 +26,11 @@
         UPSTREAM_DISCONNECTED, UpstreamOutcome, next_membership_change, run as run_gateway, upstream_outcome,
     },
     process::{
-        BackupError, ChangeError, Clock, ControlClient, ControlFault, ControlReply, ControlRequest,
-        ControlStatus, Daemon, DaemonRow, Group, GroupCopy, GroupError, GroupEvent, GroupHost,
-        GroupLimits, GroupMsg, GroupStartError, Health, HealthSettings, Lifecycle, LogBounds,
-        LogLines, Machine, Mailbox, MemberRow, OperatorOrder, PeerFrame, Progress, QuorumReply,
-        QuorumRequest, StartError, backup, restore, spawn,
+        BackupError, Clock, ControlClient, ControlFault, ControlReply, ControlRequest,
+        ControlStatus, Daemon, DaemonRow, GroupBackup, GroupError, GroupEvent, GroupHost,
+        GroupLimits, GroupMsg, GroupStartError, Health, HealthSettings, InMemoryGroup, Lifecycle,
+        LogBounds, LogLines, Machine, Mailbox, MemberRow, MembershipChangeError, OperatorOrder,
+        PeerFrame, Progress, QuorumReply, QuorumRequest, StartError, backup, restore, spawn,
     },
     request::{
         ResponseText, StreamAction, StreamTracker, StreamTrackerSettings, TextUpdate,
--- a/crates/sapphirequayd/src/process/group/backup.rs
+++ b/crates/sapphirequayd/src/process/group/backup.rs
@@ -56,7 +56,7 @@
 
 /// What a copy of one group holds.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct GroupCopy {
+pub struct GroupBackup {
     /// Name of the group's folder.
     pub name: Box<str>,
     /// Last entry in it.
@@ -69,7 +69,7 @@
 /// # Errors
 ///
 /// If a file can't be copied or the copy does not open.
-pub fn backup(from: &Path, to: &Path) -> Result<Vec<GroupCopy>, BackupError> {
+pub fn backup(from: &Path, to: &Path) -> Result<Vec<GroupBackup>, BackupError> {
     let mut copies = Vec::new();
     make(to)?;
     for name in group_names(from)? {
@@ -79,7 +79,7 @@
         // The snapshot comes last: it covers what was dropped meanwhile.
         copy_named(&source, &target, "snapshot-")?;
         let last = open(&target)?.restart_last();
-        copies.push(GroupCopy { name, last });
+        copies.push(GroupBackup { name, last });
     }
     Ok(copies)
 }
--- a/crates/sapphirequayd/src/process/group/host.rs
+++ b/crates/sapphirequayd/src/process/group/host.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        ChangeError, Group, GroupEvent, GroupLimits, GroupMsg, GroupStartError, QuorumReply,
-        QuorumRequest,
+        GroupEvent, GroupLimits, GroupMsg, GroupStartError, InMemoryGroup, MembershipChangeError,
+        QuorumReply, QuorumRequest,
         disk::{self, DiskJob},
         peers::{self, Peers},
         replicated::{Outside, ReplicatedGroup},
@@ -43,7 +43,10 @@
 enum Inbound {
     Peer(GroupEvent),
     Status(mpsc::SyncSender<Option<Status>>),
-    Change(MembershipChange, mpsc::SyncSender<Result<(), ChangeError>>),
+    Change(
+        MembershipChange,
+        mpsc::SyncSender<Result<(), MembershipChangeError>>,
+    ),
 }
 
 /// Replicas of one host.
@@ -136,7 +139,7 @@
             (Some(data), Some(node)) => {
                 self.start_replica(group, machine, node, &data.join(group.to_string()))
             }
-            _ => spawn(&group.to_string(), self.clock, Group::new(machine))
+            _ => spawn(&group.to_string(), self.clock, InMemoryGroup::new(machine))
                 .map_err(|err| GroupStartError::Io(PathBuf::new(), err)),
         }
     }
@@ -266,8 +269,8 @@
                 inlet(Inbound::Change(change, tx));
                 let reply = match rx.recv() {
                     Ok(Ok(())) => QuorumReply::Changed,
-                    Ok(Err(ChangeError::Refused(text))) => QuorumReply::Refused(text),
-                    Ok(Err(ChangeError::Unknown)) | Err(_) => QuorumReply::Unknown,
+                    Ok(Err(MembershipChangeError::Refused(text))) => QuorumReply::Refused(text),
+                    Ok(Err(MembershipChangeError::Unknown)) | Err(_) => QuorumReply::Unknown,
                 };
                 let _ = incoming.stream.send(&reply);
             }
@@ -284,7 +287,7 @@
     mailbox: Mailbox<GroupMsg<M>>,
 ) -> io::Result<()> {
     let run = move || {
-        let tell = |event| mailbox.send(GroupMsg::Inner(event));
+        let tell = |event| mailbox.send(GroupMsg::Event(event));
         let synced = |ticket| tell(GroupEvent::Persisted(ticket));
         if let Err(err) = disk::run(&mut log, &jobs, sync_each, synced) {
             tell(GroupEvent::DiskFailed(err.to_string().into()));
@@ -303,8 +306,8 @@
 ) -> io::Result<()> {
     let run = move || {
         saver.run(&jobs, |saved| {
-            let event = saved.map_or(GroupEvent::SnapshotFailed, GroupEvent::Compacted);
-            mailbox.send(GroupMsg::Inner(event));
+            let event = saved.map_or(GroupEvent::SnapshotFailed, GroupEvent::SnapshotSaved);
+            mailbox.send(GroupMsg::Event(event));
         });
     };
     let name = format!("snapshot-{group}");
@@ -345,7 +348,7 @@
     let mailbox = Mutex::new(mailbox);
     Arc::new(move |inbound| {
         let msg = match inbound {
-            Inbound::Peer(event) => GroupMsg::Inner(event),
+            Inbound::Peer(event) => GroupMsg::Event(event),
             Inbound::Status(reply) => GroupMsg::Status(reply),
             Inbound::Change(change, reply) => GroupMsg::Change { change, reply },
         };
--- a/crates/sapphirequayd/src/process/group/in_memory.rs
+++ b/crates/sapphirequayd/src/process/group/in_memory.rs
@@ -1,7 +1,7 @@
 //! A group of one copy in memory, for demos and tests.
 
 use {
-    super::{ChangeError, GroupMsg},
+    super::{GroupMsg, MembershipChangeError},
     crate::process::Machine,
     quay_quorum::StateMachine,
     quay_types::{Epoch, LogIndex, Time},
@@ -10,12 +10,12 @@
 
 /// A group of one copy in memory: every command commits at once and is lost
 /// with the process.
-pub struct Group<M> {
+pub struct InMemoryGroup<M> {
     machine: M,
     index: LogIndex,
 }
 
-impl<M: StateMachine> Group<M> {
+impl<M: StateMachine> InMemoryGroup<M> {
     /// A group that starts with `machine`.
     pub const fn new(machine: M) -> Self {
         Self {
@@ -25,7 +25,7 @@
     }
 }
 
-impl<M: StateMachine> Machine for Group<M> {
+impl<M: StateMachine> Machine for InMemoryGroup<M> {
     type Msg = GroupMsg<M>;
 
     const TICK: Duration = Duration::from_millis(20);
@@ -38,10 +38,12 @@
             }
             GroupMsg::Read { query, reply } => drop(reply.send(Ok(self.machine.query(&query)))),
             GroupMsg::Change { reply, .. } => {
-                let _ = reply.send(Err(ChangeError::Refused("the group is in memory".into())));
+                let _ = reply.send(Err(MembershipChangeError::Refused(
+                    "the group is in memory".into(),
+                )));
             }
             GroupMsg::Status(reply) => drop(reply.send(None)),
-            GroupMsg::Stop | GroupMsg::Inner(_) => {}
+            GroupMsg::Stop | GroupMsg::Event(_) => {}
         }
     }
 
--- a/crates/sapphirequayd/src/process/group/mod.rs
+++ b/crates/sapphirequayd/src/process/group/mod.rs
@@ -13,9 +13,9 @@
 mod waiting;
 
 pub use {
-    backup::{BackupError, GroupCopy, backup, restore},
+    backup::{BackupError, GroupBackup, backup, restore},
     host::GroupHost,
-    in_memory::Group,
+    in_memory::InMemoryGroup,
     peers::PeerFrame,
     replicated::GroupLimits,
     request::{QuorumReply, QuorumRequest},
@@ -60,19 +60,19 @@
         /// The change.
         change: MembershipChange,
         /// Takes the answer.
-        reply: SyncSender<Result<(), ChangeError>>,
+        reply: SyncSender<Result<(), MembershipChangeError>>,
     },
     /// Tell how the replica stands; `None` for a group in memory.
     Status(SyncSender<Option<Status>>),
     /// Stop at once, as if the process had died.
     Stop,
     /// From the replica's own threads and its peers.
-    Inner(GroupEvent),
+    Event(GroupEvent),
 }
 
 /// Why members did not change.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ChangeError {
+pub enum MembershipChangeError {
     /// The change was refused; nothing happened.
     Refused(Box<str>),
     /// The change was proposed, and may yet be committed.
@@ -94,7 +94,7 @@
     /// This save and all before it are synced.
     Persisted(PersistId),
     /// A snapshot of the state after an entry is synced.
-    Compacted(LogIndex),
+    SnapshotSaved(LogIndex),
     /// A snapshot could not be saved; the log goes on growing.
     SnapshotFailed,
     /// The disk failed: what it holds is unknown.
--- a/crates/sapphirequayd/src/process/group/replicated.rs
+++ b/crates/sapphirequayd/src/process/group/replicated.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        ChangeError, GroupError, GroupEvent, GroupMsg,
+        GroupError, GroupEvent, GroupMsg, MembershipChangeError,
         disk::DiskJob,
         peers::Peers,
         snapshots::SnapshotJob,
@@ -169,7 +169,7 @@
         &mut self,
         now: Time,
         change: quay_quorum::MembershipChange,
-        reply: SyncSender<Result<(), ChangeError>>,
+        reply: SyncSender<Result<(), MembershipChangeError>>,
     ) {
         let tag = self.take_tag();
         let actions = self
@@ -179,7 +179,7 @@
             Ok((index, term)) => self.waiting.propose(index, term, Waiter::Change(reply)),
             Err(refusal) => {
                 let text = self.refusal_text(refusal);
-                let _ = reply.send(Err(ChangeError::Refused(text)));
+                let _ = reply.send(Err(MembershipChangeError::Refused(text)));
             }
         }
     }
@@ -388,7 +388,7 @@
                 self.step(now, Input::Message { from, message });
             }
             GroupEvent::Persisted(ticket) => self.step(now, Input::Persisted(ticket)),
-            GroupEvent::Compacted(index) => {
+            GroupEvent::SnapshotSaved(index) => {
                 self.since.saving = false;
                 self.step(now, Input::SnapshotSaved(index));
             }
@@ -423,7 +423,7 @@
             GroupMsg::Change { change, reply } => self.change(now, change, reply),
             GroupMsg::Status(reply) => drop(reply.send(Some(self.replica.status()))),
             GroupMsg::Stop => self.stop(),
-            GroupMsg::Inner(event) => self.event(now, event),
+            GroupMsg::Event(event) => self.event(now, event),
         }
     }
 
@@ -448,10 +448,12 @@
         GroupMsg::Propose { reply, .. } => drop(reply.send(Err(GroupError::Unavailable))),
         GroupMsg::Read { reply, .. } => drop(reply.send(Err(GroupError::Unavailable))),
         GroupMsg::Change { reply, .. } => {
-            let _ = reply.send(Err(ChangeError::Refused("the replica has stopped".into())));
+            let _ = reply.send(Err(MembershipChangeError::Refused(
+                "the replica has stopped".into(),
+            )));
         }
         GroupMsg::Status(reply) => drop(reply.send(None)),
-        GroupMsg::Stop | GroupMsg::Inner(_) => {}
+        GroupMsg::Stop | GroupMsg::Event(_) => {}
     }
 }
 
--- a/crates/sapphirequayd/src/process/group/waiting.rs
+++ b/crates/sapphirequayd/src/process/group/waiting.rs
@@ -1,7 +1,7 @@
 //! Requests that wait for a commit or a quorum.
 
 use {
-    super::{ChangeError, GroupError},
+    super::{GroupError, MembershipChangeError},
     indexmap::IndexMap,
     quay_quorum::StateMachine,
     quay_types::{Epoch, LogIndex},
@@ -13,7 +13,7 @@
     /// Someone who proposed a command.
     Command(SyncSender<Result<M::Reply, GroupError>>),
     /// Someone who changes the members.
-    Change(SyncSender<Result<(), ChangeError>>),
+    Change(SyncSender<Result<(), MembershipChangeError>>),
 }
 
 impl<M: StateMachine> Waiter<M> {
@@ -21,7 +21,7 @@
     fn unknown(self) {
         match self {
             Self::Command(reply) => drop(reply.send(Err(GroupError::Unknown))),
-            Self::Change(reply) => drop(reply.send(Err(ChangeError::Unknown))),
+            Self::Change(reply) => drop(reply.send(Err(MembershipChangeError::Unknown))),
         }
     }
 }
--- a/crates/sapphirequayd/src/process/mod.rs
+++ b/crates/sapphirequayd/src/process/mod.rs
@@ -34,8 +34,9 @@
     daemon::{Daemon, StartError},
     gate::{Gate, GateMsg, ticket},
     group::{
-        BackupError, ChangeError, Group, GroupCopy, GroupError, GroupEvent, GroupHost, GroupLimits,
-        GroupMsg, GroupStartError, PeerFrame, QuorumReply, QuorumRequest, backup, restore,
+        BackupError, GroupBackup, GroupError, GroupEvent, GroupHost, GroupLimits, GroupMsg,
+        GroupStartError, InMemoryGroup, MembershipChangeError, PeerFrame, QuorumReply,
+        QuorumRequest, backup, restore,
     },
     health::{Health, HealthSettings},
     kv_keeper::{KvKeeper, KvMsg},
