--- a/crates/quay_experiment/src/faults/shutdown.rs
+++ b/crates/quay_experiment/src/faults/shutdown.rs
@@ -7,7 +7,7 @@
     },
     quay_types::Time,
     rand_chacha::ChaCha8Rng,
-    sapphirequayd::{Lifecycle, Progress},
+    sapphirequayd::{InProgressGuard, Lifecycle},
     std::time::Duration,
 };
 
@@ -31,7 +31,7 @@
     sidecar: Option<usize>,
     ends: Time,
     /// Keep the processes from ending.
-    progress: Vec<Progress>,
+    progress: Vec<InProgressGuard>,
 }
 
 /// Entries and sidecars that leave at any moment while calls run.
--- a/crates/sapphirequay/src/audit.rs
+++ b/crates/sapphirequay/src/audit.rs
@@ -4,7 +4,7 @@
     crate::operator::{Operator, operator_args, unexpected, utc},
     quay_config::AuditRecord,
     quay_types::ContentDigest,
-    sapphirequayd::{ControlFault, ControlReply, ControlRequest},
+    sapphirequayd::{ControlError, ControlReply, ControlRequest},
     serde_json::json,
     std::{error::Error, thread, time::Duration},
 };
@@ -91,7 +91,7 @@
         let records = match trail.next(&mut operator) {
             Ok(records) => records,
             // Without a quorum the trail goes on later.
-            Err(err) if args.follow && err.is::<ControlFault>() => {
+            Err(err) if args.follow && err.is::<ControlError>() => {
                 eprintln!("audit: {err}");
                 Box::default()
             }
--- a/crates/sapphirequay/src/operator.rs
+++ b/crates/sapphirequay/src/operator.rs
@@ -4,7 +4,7 @@
     quay_config::{Accepted, Action, ChangeId},
     quay_link::{KeyFiles, LinkRole, Links},
     rand::Rng as _,
-    sapphirequayd::{ControlClient, ControlFault, ControlReply, ControlRequest, OperatorOrder},
+    sapphirequayd::{ControlClient, ControlError, ControlReply, ControlRequest, OperatorCommand},
     std::{error::Error, net::SocketAddr, path::Path, thread, time::Duration},
 };
 
@@ -76,11 +76,11 @@
 
     /// Asks; sends the request again while its answer is lost, which is safe
     /// since a request with an id gets the first answer.
-    pub fn ask(&mut self, req: &ControlRequest) -> Result<ControlReply, ControlFault> {
+    pub fn ask(&mut self, req: &ControlRequest) -> Result<ControlReply, ControlError> {
         let mut sends = 1;
         loop {
-            match self.client.ask(req.clone()) {
-                Err(ControlFault::Unknown(why)) if sends < MAX_SENDS => {
+            match self.client.request(req.clone()) {
+                Err(ControlError::Unknown(why)) if sends < MAX_SENDS => {
                     log::warn!("event=resend sends={sends} cause={why:?}");
                     sends += 1;
                     thread::sleep(RESEND_AFTER);
@@ -99,15 +99,15 @@
         dry_run: bool,
     ) -> Result<(ChangeId, Accepted), Box<dyn Error>> {
         let id = ChangeId(id.map_or_else(random_id, Into::into));
-        let order = OperatorOrder {
+        let order = OperatorCommand {
             id: id.clone(),
             cause: cause.into(),
             action,
             dry_run,
         };
-        match self.ask(&ControlRequest::Order(Box::new(order))) {
-            Ok(ControlReply::Order(Ok(accepted))) => Ok((id, accepted)),
-            Ok(ControlReply::Order(Err(refusal))) => Err(format!("refused: {refusal}").into()),
+        match self.ask(&ControlRequest::Command(Box::new(order))) {
+            Ok(ControlReply::Command(Ok(accepted))) => Ok((id, accepted)),
+            Ok(ControlReply::Command(Err(refusal))) => Err(format!("refused: {refusal}").into()),
             Ok(other) => Err(unexpected(&other)),
             Err(fault) => Err(format!("change id {id}: {fault}").into()),
         }
--- a/crates/sapphirequayd/src/connection/programs.rs
+++ b/crates/sapphirequayd/src/connection/programs.rs
@@ -362,11 +362,11 @@
     req: &LedgerRequest,
     sent_before: bool,
 ) -> Result<LedgerReply> {
-    match cx.calls.ledger.ask(program, req, LEDGER_PATIENCE) {
+    match cx.calls.ledger.request(program, req, LEDGER_PATIENCE) {
         Ok(LedgerReply::Refused(err)) => Err(err),
         Ok(reply) => Ok(reply),
-        Err(fault) if sent_before => Err(fault.unreachable()),
-        Err(fault) => Err(fault.not_run()),
+        Err(fault) if sent_before => Err(fault.unreachable_error()),
+        Err(fault) => Err(fault.not_run_error()),
     }
 }
 
--- a/crates/sapphirequayd/src/lib.rs
+++ b/crates/sapphirequayd/src/lib.rs
@@ -26,11 +26,11 @@
         UPSTREAM_DISCONNECTED, UpstreamOutcome, next_membership_change, run as run_gateway, upstream_outcome,
     },
     process::{
-        BackupError, Clock, ControlClient, ControlFault, ControlReply, ControlRequest,
-        ControlStatus, Daemon, DaemonRow, GroupBackup, GroupError, GroupEvent, GroupHost,
-        GroupLimits, GroupMsg, GroupStartError, Health, HealthSettings, InMemoryGroup, Lifecycle,
-        LogBounds, LogLines, Machine, Mailbox, MemberRow, MembershipChangeError, OperatorOrder,
-        PeerFrame, Progress, QuorumReply, QuorumRequest, StartError, backup, restore, spawn,
+        Actor, ChangeError, Clock, ControlClient, ControlError, ControlReply,
+        ControlRequest, ControlStatus, Daemon, GroupBackup, GroupCopy, GroupError, GroupEvent,
+        GroupHost, GroupLimits, GroupMsg, GroupStartError, Health, InMemoryGroup, HealthSettings,
+        InProgressGuard, Lifecycle, LogLimits, LogWriter, Mailbox, MembershipChangeError, MemberRow,
+        OperatorCommand, PeerFrame, QuorumReply, QuorumRequest, StartError, backup, restore, spawn,
     },
     request::{
         ResponseText, StreamAction, StreamTracker, StreamTrackerSettings, TextUpdate,
--- a/crates/sapphirequayd/src/logging.rs
+++ b/crates/sapphirequayd/src/logging.rs
@@ -3,7 +3,7 @@
 use {
     log::{LevelFilter, Log, Metadata, Record},
     log4rs::encode::{Encode as _, pattern::PatternEncoder, writer::simple::SimpleWriter},
-    sapphirequayd::{LogBounds, LogLevel, LogLines, LogSettings},
+    sapphirequayd::{LogLevel, LogLimits, LogSettings, LogWriter},
     std::{
         error::Error,
         fs::OpenOptions,
@@ -26,14 +26,14 @@
         }
         None => Box::new(io::stdout()),
     };
-    let bounds = LogBounds {
+    let bounds = LogLimits {
         lines_per_event_s: settings.lines_per_event_s,
         waiting_lines: settings.waiting_lines,
     };
     let logger = Logger {
         level: level(settings),
         encoder: PatternEncoder::new(PATTERN),
-        lines: LogLines::start(out, bounds)?,
+        lines: LogWriter::start(out, bounds)?,
     };
     log::set_max_level(logger.level);
     log::set_boxed_logger(Box::new(logger))?;
@@ -60,7 +60,7 @@
 struct Logger {
     level: LevelFilter,
     encoder: PatternEncoder,
-    lines: LogLines,
+    lines: LogWriter,
 }
 
 impl Log for Logger {
@@ -76,7 +76,7 @@
         // Writing to memory does not fail.
         if self.encoder.encode(&mut line, record).is_ok() {
             self.lines
-                .put(String::from_utf8_lossy(&line.0).into_owned());
+                .write_line(String::from_utf8_lossy(&line.0).into_owned());
         }
     }
 
--- a/crates/sapphirequayd/src/process/actor.rs
+++ b/crates/sapphirequayd/src/process/actor.rs
@@ -14,7 +14,7 @@
 
 /// A machine that decides: messages and time go in, answers leave through
 /// channels that the messages carry. It must not block.
-pub trait Machine: Send + 'static {
+pub trait Actor: Send + 'static {
     /// What the machine is told.
     type Msg: Send + 'static;
 
@@ -28,7 +28,7 @@
     fn tick(&mut self, now: Time);
 
     /// Finishes a burst of messages, or a tick.
-    fn settle(&mut self, _now: Time) {}
+    fn after_batch(&mut self, _now: Time) {}
 }
 
 /// Sends messages to a machine; clones reach the same machine.
@@ -68,7 +68,7 @@
     clock: Clock,
 }
 
-impl<A: Machine> Shell<A> {
+impl<A: Actor> Shell<A> {
     #[allow(clippy::unnecessary_wraps)] // `actor!` expects an option.
     fn init(cx: CX![], machine: A, clock: Clock) -> Option<Self> {
         after!(A::TICK, [cx], tick());
@@ -79,13 +79,13 @@
         self.machine.handle(self.clock.now(), msg);
     }
 
-    fn settle(&mut self, _: CX![]) {
-        self.machine.settle(self.clock.now());
+    fn after_batch(&mut self, _: CX![]) {
+        self.machine.after_batch(self.clock.now());
     }
 
     fn tick(&mut self, cx: CX![]) {
         self.machine.tick(self.clock.now());
-        self.machine.settle(self.clock.now());
+        self.machine.after_batch(self.clock.now());
         after!(A::TICK, [cx], tick());
     }
 }
@@ -95,7 +95,7 @@
 /// # Errors
 ///
 /// Fails if the system gives no thread.
-pub fn spawn<A: Machine>(name: &str, clock: Clock, machine: A) -> io::Result<Mailbox<A::Msg>> {
+pub fn spawn<A: Actor>(name: &str, clock: Clock, machine: A) -> io::Result<Mailbox<A::Msg>> {
     let (tx, rx) = mpsc::channel();
     thread::Builder::new()
         .name(name.into())
@@ -104,7 +104,7 @@
 }
 
 /// Turns the actor system until the mailbox closes.
-fn run<A: Machine>(clock: Clock, machine: A, inbox: &mpsc::Receiver<A::Msg>) {
+fn run<A: Actor>(clock: Clock, machine: A, inbox: &mpsc::Receiver<A::Msg>) {
     let mut stakker = Stakker::new(Instant::now());
     let shell = actor!(stakker, <Shell<A>>::init(machine, clock), ret_nop!());
     loop {
@@ -117,7 +117,7 @@
                 while let Ok(msg) = inbox.try_recv() {
                     call!([shell], handle(msg));
                 }
-                call!([shell], settle());
+                call!([shell], after_batch());
             }
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return,
--- a/crates/sapphirequayd/src/process/control.rs
+++ b/crates/sapphirequayd/src/process/control.rs
@@ -3,7 +3,7 @@
 use {
     crate::process::{
         Clock, ControlReply, ControlRequest, ControlStatus, DaemonRow, GroupError, GroupMsg,
-        Mailbox, MemberRow, OperatorOrder, directory::DirectoryMsg,
+        Mailbox, MemberRow, OperatorCommand, directory::DirectoryMsg,
     },
     indexmap::IndexMap,
     quay_config::{
@@ -112,11 +112,11 @@
             action: Action::Bootstrap(text.into()),
         };
         match self.propose(order) {
-            ControlReply::Order(Err(refusal)) => {
+            ControlReply::Command(Err(refusal)) => {
                 log::error!("event=first_document_refused cause={:?}", refusal.summary());
                 true
             }
-            ControlReply::Order(Ok(_)) => true,
+            ControlReply::Command(Ok(_)) => true,
             _ => false,
         }
     }
@@ -142,7 +142,7 @@
                 time_ms: Clock::wall_ms(),
                 action: Action::Quarantine(digest, until_ms),
             }),
-            ControlRequest::Order(order) => self.operator(*order, holder),
+            ControlRequest::Command(order) => self.operator(*order, holder),
             ControlRequest::Image => self.answer(ConfigQuery::Image),
             ControlRequest::Status => self.answer(ConfigQuery::Status),
             ControlRequest::Audit { after, limit } => {
@@ -154,7 +154,7 @@
 
     /// Carries out an operator's order. The author is who the certificate
     /// names, whatever the order says.
-    fn operator(&self, order: OperatorOrder, holder: Box<str>) -> ControlReply {
+    fn operator(&self, order: OperatorCommand, holder: Box<str>) -> ControlReply {
         let dry_run = order.dry_run;
         let order = ConfigCommand {
             id: order.id,
@@ -230,7 +230,7 @@
     fn propose(&self, command: ConfigCommand) -> ControlReply {
         let asked = self.group.ask(|reply| GroupMsg::Propose { command, reply });
         match asked {
-            Some(Ok(reply)) => ControlReply::Order(reply),
+            Some(Ok(reply)) => ControlReply::Command(reply),
             Some(Err(err)) => of_group_error(err),
             None => ControlReply::Unknown,
         }
@@ -246,7 +246,7 @@
     fn answer(&self, query: ConfigQuery) -> ControlReply {
         match self.read(query) {
             Ok(ConfigAnswer::Update(update)) => ControlReply::Update(update),
-            Ok(ConfigAnswer::DryRun(reply)) => ControlReply::Order(reply),
+            Ok(ConfigAnswer::DryRun(reply)) => ControlReply::Command(reply),
             Ok(ConfigAnswer::Image(image)) => ControlReply::Image(image),
             Ok(ConfigAnswer::Audit(records)) => ControlReply::Audit(records),
             Ok(ConfigAnswer::Status(status)) => {
--- a/crates/sapphirequayd/src/process/control_client.rs
+++ b/crates/sapphirequayd/src/process/control_client.rs
@@ -11,7 +11,7 @@
 
 /// Why the control group gave no answer.
 #[derive(Debug)]
-pub enum ControlFault {
+pub enum ControlError {
     /// No ledger host is named in the settings or arguments.
     NoHost,
     /// No host that leads was reached; says why of the last one.
@@ -22,7 +22,7 @@
     Unknown(Box<str>),
 }
 
-impl fmt::Display for ControlFault {
+impl fmt::Display for ControlError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NoHost => f.write_str("no ledger host is named"),
@@ -36,7 +36,7 @@
     }
 }
 
-impl std::error::Error for ControlFault {}
+impl std::error::Error for ControlError {}
 
 /// Asks the control group.
 #[derive(Debug, Clone)]
@@ -62,33 +62,33 @@
     ///
     /// # Errors
     ///
-    /// [`ControlFault::Unknown`] if the request may have been carried out.
-    pub fn ask(&mut self, req: ControlRequest) -> Result<ControlReply, ControlFault> {
+    /// [`ControlError::Unknown`] if the request may have been carried out.
+    pub fn request(&mut self, req: ControlRequest) -> Result<ControlReply, ControlError> {
         let req = LinkRequest::Control(req);
         let mut untried = self.hosts.clone();
         let mut next = self.leader.take();
-        let mut fault = ControlFault::NoHost;
+        let mut fault = ControlError::NoHost;
         let mut redirected = false;
         while let Some(host) = next.or_else(|| untried.first().copied()) {
             untried.retain(|other| *other != host);
             next = None;
             match self.ask_host(host, &req) {
                 Ok(ControlReply::Redirect(leader)) => {
-                    fault = ControlFault::NotReached(format!("{host} does not lead").into());
+                    fault = ControlError::NotReached(format!("{host} does not lead").into());
                     if !redirected {
                         redirected = true;
                         next = leader.filter(|leader| *leader != host);
                     }
                 }
-                Ok(ControlReply::NoQuorum) => fault = ControlFault::NoQuorum(host),
+                Ok(ControlReply::NoQuorum) => fault = ControlError::NoQuorum(host),
                 Ok(ControlReply::Unknown) => {
-                    return Err(ControlFault::Unknown(format!("{host}").into()));
+                    return Err(ControlError::Unknown(format!("{host}").into()));
                 }
                 Ok(reply) => {
                     self.leader = Some(host);
                     return Ok(reply);
                 }
-                Err(unknown @ ControlFault::Unknown(_)) => return Err(unknown),
+                Err(unknown @ ControlError::Unknown(_)) => return Err(unknown),
                 Err(err) => fault = err,
             }
         }
@@ -96,14 +96,14 @@
     }
 
     /// Asks one host.
-    fn ask_host(&self, host: SocketAddr, req: &LinkRequest) -> Result<ControlReply, ControlFault> {
+    fn ask_host(&self, host: SocketAddr, req: &LinkRequest) -> Result<ControlReply, ControlError> {
         let opened = self.links.open(host, LinkRole::Ledger, req);
         let mut stream = opened.map_err(|err| match err {
-            LinkError::Connect(why) => ControlFault::NotReached(why),
-            err => ControlFault::Unknown(err.to_string().into()),
+            LinkError::Connect(why) => ControlError::NotReached(why),
+            err => ControlError::Unknown(err.to_string().into()),
         })?;
         stream
             .recv()
-            .map_err(|err| ControlFault::Unknown(format!("{host}: {err}").into()))
+            .map_err(|err| ControlError::Unknown(format!("{host}: {err}").into()))
     }
 }
--- a/crates/sapphirequayd/src/process/control_message.rs
+++ b/crates/sapphirequayd/src/process/control_message.rs
@@ -13,7 +13,7 @@
 
 /// An operator's request to change something.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OperatorOrder {
+pub struct OperatorCommand {
     /// Identity across resends.
     pub id: ChangeId,
     /// Why, in their words.
@@ -46,7 +46,7 @@
         cause: Box<str>,
     },
     /// An operator's order.
-    Order(Box<OperatorOrder>),
+    Command(Box<OperatorCommand>),
     /// Everything in force.
     Image,
     /// What is in force, and which daemons hold it.
@@ -147,7 +147,7 @@
     /// Answer to `Poll`, confirmed by a quorum.
     Update(Update),
     /// Answer to `Order` and `Quarantine`.
-    Order(ConfigReply),
+    Command(ConfigReply),
     /// Answer to `Image`.
     Image(Box<Image>),
     /// Answer to `Status`.
--- a/crates/sapphirequayd/src/process/daemon.rs
+++ b/crates/sapphirequayd/src/process/daemon.rs
@@ -4,9 +4,9 @@
     crate::{
         connection::{Edge, EngineClient, EntryContext, Monitor, ServiceClient},
         process::{
-            Clock, ControlRequest, ControlService, Gate, GroupHost, GroupStartError, KvKeeper,
-            KvMsg, LedgerClient, LedgerService, Lifecycle, Mailbox, PermitMsg, QuorumRequest,
-            Router, SharedHealth,
+            Clock, ControlRequest, ControlService, Gate, GroupHost, GroupStartError,
+            KvCacheManager, KvMsg, LedgerClient, LedgerService, Lifecycle, Mailbox, PermitMsg,
+            QuorumRequest, Router, SharedHealth,
             announcer::{Announcer, Reader, Standing},
             control_role::{follow_marks, start_control, subscribe, watch_keys},
             directory::DirectoryMsg,
@@ -177,7 +177,7 @@
     }
 
     /// Waits until entries can have heard that this process leaves.
-    pub fn linger(&self) {
+    pub fn wait_for_drain_announcement(&self) {
         if self.announces {
             thread::sleep(MembersSettings::default().heartbeat * 2);
         }
@@ -298,7 +298,7 @@
     };
     let health = SharedHealth::new(clock);
     health
-        .probe(format!("http://{}/healthz", sidecar.addr).into())
+        .start_prober(format!("http://{}/healthz", sidecar.addr).into())
         .map_err(starting("prober"))?;
     let standing = Standing {
         lifecycle: lifecycle.clone(),
@@ -319,7 +319,7 @@
     } else {
         let ledger = LedgerClient::new(links.clone(), settings.link.ledgers.as_slice());
         let sweep = settings.policy.kv.sweep();
-        let kv = KvKeeper::start(clock, sweep, engine.clone(), ledger);
+        let kv = KvCacheManager::start(clock, sweep, engine.clone(), ledger);
         Some(kv.map_err(starting("kv keeper"))?)
     };
     Ok(AttemptContext {
@@ -417,7 +417,7 @@
         LinkRequest::Gateway(_) => {}
         LinkRequest::Sidecar(SidecarRequest::ProgramEnded(program)) => {
             if let Some(kv) = roles.sidecar.as_ref().and_then(|it| it.kv.as_ref()) {
-                kv.send(KvMsg::Ended(program));
+                kv.send(KvMsg::ProgramEnded(program));
             }
         }
     }
--- a/crates/sapphirequayd/src/process/directory.rs
+++ b/crates/sapphirequayd/src/process/directory.rs
@@ -1,7 +1,7 @@
 //! Keeps the directory of upstreams on a ledger host.
 
 use {
-    crate::process::Machine,
+    crate::process::Actor,
     indexmap::IndexSet,
     quay_members::{Directory, MemberStatus, MembersReply, MembersRequest},
     quay_types::{Time, UpstreamId},
@@ -23,7 +23,7 @@
     Members(SyncSender<Vec<MemberStatus>>),
 }
 
-impl Machine for Directory {
+impl Actor for Directory {
     type Msg = DirectoryMsg;
 
     const TICK: Duration = Duration::from_millis(100);
--- a/crates/sapphirequayd/src/process/gate.rs
+++ b/crates/sapphirequayd/src/process/gate.rs
@@ -1,7 +1,7 @@
 //! Admits calls to the upstream of a sidecar.
 
 use {
-    crate::process::Machine,
+    crate::process::Actor,
     indexmap::IndexMap,
     quay_policy::{
         AdaptiveLimit, Admission, AdmissionSettings, Observation, Ticket, TicketId, Verdict,
@@ -19,9 +19,9 @@
 /// What the gate is told.
 pub enum GateMsg {
     /// A call asks for admission; the answer comes when it may run.
-    Enter(Ticket, Waiter),
+    Admit(Ticket, Waiter),
     /// An admitted call has ended.
-    Leave(TicketId),
+    Finish(TicketId),
     /// Tokens came from the upstream this far apart.
     TokenGap(Duration),
     /// An operator's mark to leave was set, or taken away.
@@ -137,15 +137,15 @@
     }
 }
 
-impl Machine for Gate {
+impl Actor for Gate {
     type Msg = GateMsg;
 
     const TICK: Duration = Duration::from_millis(100);
 
     fn handle(&mut self, now: Time, msg: GateMsg) {
         match msg {
-            GateMsg::Enter(ticket, waiter) => self.enter(now, ticket, waiter),
-            GateMsg::Leave(id) => self.admission.finish(now, id),
+            GateMsg::Admit(ticket, waiter) => self.enter(now, ticket, waiter),
+            GateMsg::Finish(id) => self.admission.finish(now, id),
             GateMsg::TokenGap(gap) => self.token_gap(gap),
             GateMsg::Drain(drained) => self.drain(drained),
             GateMsg::Load(reply) => drop(reply.send((self.load(), self.state()))),
--- a/crates/sapphirequayd/src/process/group/in_memory.rs
+++ b/crates/sapphirequayd/src/process/group/in_memory.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{GroupMsg, MembershipChangeError},
-    crate::process::Machine,
+    crate::process::Actor,
     quay_quorum::StateMachine,
     quay_types::{Epoch, LogIndex, Time},
     std::time::Duration,
@@ -25,7 +25,7 @@
     }
 }
 
-impl<M: StateMachine> Machine for InMemoryGroup<M> {
+impl<M: StateMachine> Actor for InMemoryGroup<M> {
     type Msg = GroupMsg<M>;
 
     const TICK: Duration = Duration::from_millis(20);
--- a/crates/sapphirequayd/src/process/group/replicated.rs
+++ b/crates/sapphirequayd/src/process/group/replicated.rs
@@ -8,7 +8,7 @@
         snapshots::SnapshotJob,
         waiting::{Waiter, Waiting},
     },
-    crate::process::Machine,
+    crate::process::Actor,
     quay_quorum::{
         Action, Entry, Input, Payload, Refusal, Replica, SnapshotMeta, StateMachine,
         placement_advice,
@@ -408,7 +408,7 @@
     taken.unwrap_or(Err(Refusal::NotReady))
 }
 
-impl<M: StateMachine> Machine for ReplicatedGroup<M> {
+impl<M: StateMachine> Actor for ReplicatedGroup<M> {
     type Msg = GroupMsg<M>;
 
     const TICK: Duration = Duration::from_millis(20);
@@ -433,7 +433,7 @@
         }
     }
 
-    fn settle(&mut self, now: Time) {
+    fn after_batch(&mut self, now: Time) {
         if self.outside.is_some() {
             let actions = self.replica.flush(now);
             self.act(actions);
--- a/crates/sapphirequayd/src/process/health.rs
+++ b/crates/sapphirequayd/src/process/health.rs
@@ -78,7 +78,7 @@
     }
 
     /// Takes the outcome of a request.
-    pub fn outcome(&mut self, now: Time, good: bool) {
+    pub fn record_outcome(&mut self, now: Time, good: bool) {
         self.outcomes.push_back((now, good));
         self.forget(now);
         if self.failing_since.is_none() && self.too_many_failures() {
@@ -96,7 +96,7 @@
     }
 
     /// Takes the result of a probe.
-    pub fn probed(&mut self, now: Time, good: bool) {
+    pub fn record_probe(&mut self, now: Time, good: bool) {
         let Some(since) = self.failing_since else {
             return;
         };
--- a/crates/sapphirequayd/src/process/kv_keeper.rs
+++ b/crates/sapphirequayd/src/process/kv_cache_manager.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         connection::EngineClient,
-        process::{Clock, LedgerClient, Machine, Mailbox, spawn},
+        process::{Actor, Clock, LedgerClient, Mailbox, spawn},
     },
     indexmap::IndexMap,
     quay_policy::{ProgramBlocks, Retention, RetentionAction, RetentionSettings},
@@ -26,13 +26,13 @@
 /// What the keeper is told.
 pub enum KvMsg {
     /// A call of a program starts with these blocks in its prompt.
-    Started(ProgramId, Box<[u64]>),
+    CallStarted(ProgramId, Box<[u64]>),
     /// A call of a program has ended.
-    Paused(ProgramId),
+    CallEnded(ProgramId),
     /// A program has ended.
-    Ended(ProgramId),
+    ProgramEnded(ProgramId),
     /// The ledger did not say which of these have ended; the next sweep asks again.
-    Swept,
+    QueryFinished,
 }
 
 /// What the keeper's worker does, since it may block.
@@ -44,7 +44,7 @@
 }
 
 /// Decides what the upstream keeps.
-pub struct KvKeeper {
+pub struct KvCacheManager {
     retention: Retention,
     held: ProgramBlocks,
     tasks: Sender<KvTask>,
@@ -52,7 +52,7 @@
     sweeping: bool,
 }
 
-impl KvKeeper {
+impl KvCacheManager {
     /// Starts the keeper of an engine and its worker.
     ///
     /// # Errors
@@ -106,27 +106,27 @@
     }
 }
 
-impl Machine for KvKeeper {
+impl Actor for KvCacheManager {
     type Msg = KvMsg;
 
     const TICK: Duration = Duration::from_millis(250);
 
     fn handle(&mut self, now: Time, msg: KvMsg) {
         match msg {
-            KvMsg::Started(program, blocks) => {
+            KvMsg::CallStarted(program, blocks) => {
                 self.held.record(program, &blocks);
                 let actions = self.retention.call_started(now, program);
                 self.act(actions);
             }
-            KvMsg::Paused(program) => {
+            KvMsg::CallEnded(program) => {
                 let action = self.retention.call_ended(now, program);
                 self.act(action);
             }
-            KvMsg::Ended(program) => {
+            KvMsg::ProgramEnded(program) => {
                 let action = self.retention.program_ended(program);
                 self.act(action);
             }
-            KvMsg::Swept => self.sweeping = false,
+            KvMsg::QueryFinished => self.sweeping = false,
         }
     }
 
@@ -154,9 +154,9 @@
             }
             KvTask::Ask(programs) => {
                 for ended in ask_ended(ledger, &programs) {
-                    keeper.send(KvMsg::Ended(ended));
+                    keeper.send(KvMsg::ProgramEnded(ended));
                 }
-                keeper.send(KvMsg::Swept);
+                keeper.send(KvMsg::QueryFinished);
             }
         }
     }
@@ -173,7 +173,7 @@
     let mut ended = Vec::new();
     for of_slot in by_slot.into_values() {
         let req = LedgerRequest::Ended(of_slot.as_slice().into());
-        if let Ok(LedgerReply::Ended(some)) = ledger.ask(of_slot[0], &req, ASK_PATIENCE) {
+        if let Ok(LedgerReply::Ended(some)) = ledger.request(of_slot[0], &req, ASK_PATIENCE) {
             ended.extend(some);
         }
     }
--- a/crates/sapphirequayd/src/process/ledger_client.rs
+++ b/crates/sapphirequayd/src/process/ledger_client.rs
@@ -28,7 +28,7 @@
 
 /// Why the ledger gave no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LedgerFault {
+pub enum LedgerClientError {
     /// The request was carried out nowhere and never will be.
     NotSent,
     /// The request may have been carried out, or may yet be.
@@ -70,15 +70,15 @@
     ///
     /// # Errors
     ///
-    /// [`LedgerFault`] says whether the request may have been carried out.
-    pub fn ask(
+    /// [`LedgerClientError`] says whether the request may have been carried out.
+    pub fn request(
         &self,
         program: ProgramId,
         req: &LedgerRequest,
         patience: Duration,
-    ) -> Result<LedgerReply, LedgerFault> {
+    ) -> Result<LedgerReply, LedgerClientError> {
         let started = Instant::now();
-        let mut fault = LedgerFault::NotSent;
+        let mut fault = LedgerClientError::NotSent;
         let mut pause = FIRST_PAUSE;
         loop {
             if let Some(reply) = self.round(program, req, &mut fault) {
@@ -97,7 +97,7 @@
         &self,
         program: ProgramId,
         req: &LedgerRequest,
-        fault: &mut LedgerFault,
+        fault: &mut LedgerClientError,
     ) -> Option<LedgerReply> {
         let slot = program.root % LEADER_SLOTS;
         let mut untried: Vec<_> = self.hosts.to_vec();
@@ -116,7 +116,7 @@
                     next = leader.filter(|leader| *leader != host);
                 }
                 HostAnswer::Elsewhere(_) => {}
-                HostAnswer::Lost => *fault = LedgerFault::Unknown,
+                HostAnswer::Lost => *fault = LedgerClientError::Unknown,
             }
             self.remember(slot, None);
         }
@@ -168,7 +168,7 @@
     }
 }
 
-impl LedgerFault {
+impl LedgerClientError {
     /// What went wrong, for a person.
     const fn text(self) -> &'static str {
         match self {
@@ -179,7 +179,7 @@
 
     /// The error for a request whose earlier sends never ran.
     #[must_use]
-    pub fn not_run(self) -> Error {
+    pub fn not_run_error(self) -> Error {
         Error::new(
             ErrorKind::LedgerUnavailable,
             format!("{}; nothing was run", self.text()),
@@ -188,7 +188,7 @@
 
     /// The error for a request of which an earlier send may have run.
     #[must_use]
-    pub fn unreachable(self) -> Error {
+    pub fn unreachable_error(self) -> Error {
         Error::new(
             ErrorKind::LedgerUnreachable,
             format!("{}; send it again with the same key", self.text()),
--- a/crates/sapphirequayd/src/process/lifecycle.rs
+++ b/crates/sapphirequayd/src/process/lifecycle.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Default)]
 struct State {
     draining: bool,
-    /// Requests that a [`Progress`] stands for.
+    /// Requests that a [`InProgressGuard`] stands for.
     in_progress: u32,
 }
 
@@ -19,7 +19,7 @@
 
 /// One request in progress, until it is dropped.
 #[derive(Debug)]
-pub struct Progress(Lifecycle);
+pub struct InProgressGuard(Lifecycle);
 
 impl Lifecycle {
     /// Locks the state.
@@ -29,13 +29,13 @@
 
     /// Counts a new request; `None` while the process is leaving.
     #[must_use]
-    pub fn begin(&self) -> Option<Progress> {
+    pub fn begin(&self) -> Option<InProgressGuard> {
         let mut state = self.state();
         if state.draining {
             return None;
         }
         state.in_progress += 1;
-        Some(Progress(self.clone()))
+        Some(InProgressGuard(self.clone()))
     }
 
     /// Takes no new request from now on.
@@ -73,7 +73,7 @@
     }
 }
 
-impl Drop for Progress {
+impl Drop for InProgressGuard {
     fn drop(&mut self) {
         self.0.state().in_progress -= 1;
         self.0.0.1.notify_all();
--- a/crates/sapphirequayd/src/process/log_lines.rs
+++ b/crates/sapphirequayd/src/process/log_writer.rs
@@ -25,7 +25,7 @@
 
 /// Bounds on the volume of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LogBounds {
+pub struct LogLimits {
     /// Lines of one event in a second; further ones are counted.
     pub lines_per_event_s: u32,
     /// Lines that wait for their output; further ones are counted.
@@ -58,20 +58,20 @@
 /// Log lines on their way to an output that may block: who writes a line never
 /// waits.
 #[derive(Debug)]
-pub struct LogLines {
+pub struct LogWriter {
     jobs: SyncSender<Job>,
     windows: Mutex<Windows>,
-    bounds: LogBounds,
+    bounds: LogLimits,
     began: Instant,
 }
 
-impl LogLines {
+impl LogWriter {
     /// Starts a thread that writes to `out`.
     ///
     /// # Errors
     ///
     /// If there is no thread to be had.
-    pub fn start(out: impl Write + Send + 'static, bounds: LogBounds) -> io::Result<Self> {
+    pub fn start(out: impl Write + Send + 'static, bounds: LogLimits) -> io::Result<Self> {
         let (jobs, queue) = sync_channel(bounds.waiting_lines.max(1));
         thread::Builder::new()
             .name("log".into())
@@ -85,12 +85,12 @@
     }
 
     /// Takes a line, with the line feed that ends it.
-    pub fn put(&self, line: String) {
-        self.put_at(self.began.elapsed().as_secs(), line);
+    pub fn write_line(&self, line: String) {
+        self.write_line_at(self.began.elapsed().as_secs(), line);
     }
 
     /// Takes a line in a second of the process's life.
-    pub fn put_at(&self, second: u64, line: String) {
+    pub fn write_line_at(&self, second: u64, line: String) {
         let (summary, written) = {
             let mut windows = self.windows();
             let summary = windows.turn(second, stamp_of(&line));
@@ -151,7 +151,7 @@
     }
 
     /// Counts a line; `false` if it is one too many.
-    fn count(&mut self, event: &str, bounds: LogBounds) -> bool {
+    fn count(&mut self, event: &str, bounds: LogLimits) -> bool {
         if !self.events.contains_key(event) {
             self.events.insert(event.into(), Window::default());
         }
--- a/crates/sapphirequayd/src/process/mod.rs
+++ b/crates/sapphirequayd/src/process/mod.rs
@@ -12,11 +12,11 @@
 mod gate;
 mod group;
 mod health;
-mod kv_keeper;
+mod kv_cache_manager;
 mod ledger;
 mod ledger_client;
 mod lifecycle;
-mod log_lines;
+mod log_writer;
 mod permits;
 mod prober;
 mod router;
@@ -24,12 +24,12 @@
 pub mod telemetry;
 
 pub use {
-    actor::{Machine, Mailbox, spawn},
+    actor::{Actor, Mailbox, spawn},
     clock::Clock,
     control::ControlService,
-    control_client::{ControlClient, ControlFault},
+    control_client::{ControlClient, ControlError},
     control_message::{
-        ControlReply, ControlRequest, ControlStatus, DaemonRow, MemberRow, OperatorOrder,
+        ControlReply, ControlRequest, ControlStatus, DaemonRow, MemberRow, OperatorCommand,
     },
     daemon::{Daemon, StartError},
     gate::{Gate, GateMsg, ticket},
@@ -39,13 +39,13 @@
         QuorumRequest, backup, restore,
     },
     health::{Health, HealthSettings},
-    kv_keeper::{KvKeeper, KvMsg},
+    kv_cache_manager::{KvCacheManager, KvMsg},
     ledger::LedgerService,
-    ledger_client::{LedgerClient, LedgerFault},
-    lifecycle::{Lifecycle, Progress},
-    log_lines::{LogBounds, LogLines},
+    ledger_client::{LedgerClient, LedgerClientError},
+    lifecycle::{InProgressGuard, Lifecycle},
+    log_writer::{LogLimits, LogWriter},
     permits::PermitMsg,
     prober::SharedHealth,
-    router::{Pick, PickRequest, Router, RouterMsg, Try},
+    router::{AttemptKind, Pick, PickRequest, Router, RouterMsg},
     subscription::Subscription,
 };
--- a/crates/sapphirequayd/src/process/permits.rs
+++ b/crates/sapphirequayd/src/process/permits.rs
@@ -1,7 +1,7 @@
 //! The actor that holds a sidecar's permits.
 
 use {
-    crate::process::Machine,
+    crate::process::Actor,
     quay_ledger::PermitRegistry,
     quay_types::{CallEvent, Incarnation, Permit, PermitId, PermitStatus, Time},
     std::{sync::mpsc::SyncSender, time::Duration},
@@ -16,7 +16,7 @@
     /// An admitted attempt has ended.
     End(PermitId, Option<CallEvent>),
     /// Somebody asks what became of a permit.
-    Inquire {
+    Query {
         /// The permit.
         id: PermitId,
         /// Run of the sidecar that it was for.
@@ -26,7 +26,7 @@
     },
 }
 
-impl Machine for PermitRegistry {
+impl Actor for PermitRegistry {
     type Msg = PermitMsg;
 
     const TICK: Duration = Duration::from_secs(1);
@@ -36,7 +36,7 @@
             PermitMsg::Admit(permit, reply) => drop(reply.send(self.admit(permit.as_ref()))),
             PermitMsg::Refuse(id) => self.refuse(id),
             PermitMsg::End(id, answer) => self.end(id, answer),
-            PermitMsg::Inquire {
+            PermitMsg::Query {
                 id,
                 incarnation,
                 reply,
--- a/crates/sapphirequayd/src/process/prober.rs
+++ b/crates/sapphirequayd/src/process/prober.rs
@@ -41,8 +41,8 @@
     }
 
     /// Takes the outcome of a request.
-    pub fn outcome(&self, good: bool) {
-        self.lock().outcome(self.clock.now(), good);
+    pub fn record_outcome(&self, good: bool) {
+        self.lock().record_outcome(self.clock.now(), good);
     }
 
     /// The state to announce, given what the gate says.
@@ -59,7 +59,7 @@
     /// # Errors
     ///
     /// Fails if the system gives no thread.
-    pub fn probe(&self, url: Box<str>) -> io::Result<()> {
+    pub fn start_prober(&self, url: Box<str>) -> io::Result<()> {
         let health = self.clone();
         thread::Builder::new()
             .name("prober".into())
@@ -70,7 +70,7 @@
                     if due {
                         let good = probe(&url);
                         log::info!("event=probe url={url} good={good}");
-                        health.lock().probed(health.clock.now(), good);
+                        health.lock().record_probe(health.clock.now(), good);
                     }
                 }
             })?;
--- a/crates/sapphirequayd/src/process/router.rs
+++ b/crates/sapphirequayd/src/process/router.rs
@@ -1,7 +1,7 @@
 //! Chooses an upstream for each attempt of a call.
 
 use {
-    crate::process::Machine,
+    crate::process::Actor,
     quay_policy::{
         ExpectedTime, RetryBudgets, RetrySettings, RouteChoice, RouteRequest, RouteSettings,
     },
@@ -21,7 +21,7 @@
     /// Address of its sidecar.
     pub addr: SocketAddr,
     /// Leading blocks of the prompt that it is believed to hold.
-    pub held: u32,
+    pub cached_blocks: u32,
 }
 
 impl From<RouteChoice> for Pick {
@@ -30,18 +30,18 @@
             upstream: choice.upstream,
             incarnation: choice.incarnation,
             addr: choice.addr,
-            held: choice.cached_blocks,
+            cached_blocks: choice.cached_blocks,
         }
     }
 }
 
 /// What an attempt is to the budgets of retries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Try {
+pub enum AttemptKind {
     /// The call's first attempt, which earns a share of a retry.
     First,
     /// Another attempt after one that did not run, which costs nothing.
-    Again,
+    Reroute,
     /// Another attempt after one that was lost, which the budgets must cover.
     Retry,
 }
@@ -56,7 +56,7 @@
     /// Program of the call.
     pub program: ProgramId,
     /// Whether the program may have made calls before.
-    pub under_way: bool,
+    pub has_history: bool,
     /// Length of the prompt.
     pub prompt: Tokens,
     /// Chained hashes of the prompt's blocks.
@@ -64,9 +64,9 @@
     /// Upstreams that refused or failed this call.
     pub tried: Box<[UpstreamId]>,
     /// What the attempt is to the budgets of retries.
-    pub attempt: Try,
+    pub attempt: AttemptKind,
     /// A random number.
-    pub draw: u64,
+    pub random: u64,
 }
 
 /// What the router is told.
@@ -78,13 +78,13 @@
     /// Asks where the sidecar of an upstream is.
     Find(UpstreamId, SyncSender<Option<Pick>>),
     /// An upstream found this many leading blocks of a prompt in its cache.
-    Found {
+    CacheObserved {
         /// Where the attempt ran, and what was expected there.
         pick: Pick,
         /// Chained hashes of the prompt's blocks.
         blocks: Box<[u64]>,
         /// Leading blocks that were found.
-        held: u32,
+        cached_blocks: u32,
     },
     /// An attempt has ended.
     Done(UpstreamId),
@@ -125,10 +125,10 @@
             CallTarget::Service(service) => service.0,
         };
         match req.attempt {
-            Try::First => self.budgets.record_first_attempt(req.account, group),
-            Try::Again => {}
-            Try::Retry if self.budgets.try_retry(req.account, group) => {}
-            Try::Retry => {
+            AttemptKind::First => self.budgets.record_first_attempt(req.account, group),
+            AttemptKind::Reroute => {}
+            AttemptKind::Retry if self.budgets.try_retry(req.account, group) => {}
+            AttemptKind::Retry => {
                 log::warn!(
                     "event=retry_refused account={} group={group:016x}",
                     req.account
@@ -139,17 +139,17 @@
         let route = RouteRequest {
             target: req.target,
             program: req.program,
-            has_history: req.under_way,
+            has_history: req.has_history,
             conversations: &[],
             prompt: req.prompt,
             blocks: &req.blocks,
             tried: &req.tried,
         };
-        self.policy.pick(now, &route, req.draw).map(Pick::from)
+        self.policy.pick(now, &route, req.random).map(Pick::from)
     }
 }
 
-impl Machine for Router {
+impl Actor for Router {
     type Msg = RouterMsg;
 
     const TICK: Duration = Duration::from_millis(250);
@@ -163,9 +163,17 @@
             RouterMsg::Find(id, reply) => {
                 let _ = reply.send(self.policy.find(id).map(Pick::from));
             }
-            RouterMsg::Found { pick, blocks, held } => {
-                self.policy
-                    .record_cached(pick.upstream, &blocks, held, pick.held);
+            RouterMsg::CacheObserved {
+                pick,
+                blocks,
+                cached_blocks,
+            } => {
+                self.policy.record_cached(
+                    pick.upstream,
+                    &blocks,
+                    cached_blocks,
+                    pick.cached_blocks,
+                );
             }
             RouterMsg::Done(id) => self.policy.record_end(now, id),
         }
--- a/crates/sapphirequayd/src/process/subscription.rs
+++ b/crates/sapphirequayd/src/process/subscription.rs
@@ -77,7 +77,7 @@
             daemon: self.daemon.clone(),
             poll: subscriber.poll(),
         };
-        match self.client.ask(req) {
+        match self.client.request(req) {
             // The host answers from what a quorum has confirmed, or not at all.
             Ok(ControlReply::Update(update)) => Some(subscriber.receive(update, true)),
             Ok(_) => {
--- a/crates/sapphirequayd/src/request/attempt.rs
+++ b/crates/sapphirequayd/src/request/attempt.rs
@@ -78,7 +78,7 @@
                 (Ok(()), CallTarget::Model(_)) => run_model(cx, stream, call),
                 (Ok(()), CallTarget::Service(_)) => run_service(cx, stream, call),
             };
-            cx.gate.send(GateMsg::Leave(id));
+            cx.gate.send(GateMsg::Finish(id));
             last
         }
         Err(err) => CallEvent::Refused(err),
@@ -96,15 +96,15 @@
 /// Runs an admitted call of a model and tells the upstream's health of it.
 fn run_model(cx: &AttemptContext, stream: &LinkStream, call: &CallRequest) -> CallEvent {
     if let Some(kv) = &cx.kv {
-        kv.send(KvMsg::Started(call.program, call.blocks.clone()));
+        kv.send(KvMsg::CallStarted(call.program, call.blocks.clone()));
     }
     let mut run = Run::new(cx, stream, call);
     let last = run.run();
     if let Some(kv) = &cx.kv {
-        kv.send(KvMsg::Paused(call.program));
+        kv.send(KvMsg::CallEnded(call.program));
     }
     if let Some(good) = run.verdict(&last) {
-        cx.health.outcome(good);
+        cx.health.record_outcome(good);
     }
     last
 }
@@ -125,7 +125,7 @@
     id: PermitId,
     incarnation: Incarnation,
 ) {
-    let known = cx.permits.ask(|reply| PermitMsg::Inquire {
+    let known = cx.permits.ask(|reply| PermitMsg::Query {
         id,
         incarnation,
         reply,
@@ -169,7 +169,7 @@
     }
     let (tx, rx) = mpsc::sync_channel(1);
     cx.gate
-        .send(GateMsg::Enter(ticket(cx.clock.now(), call), tx));
+        .send(GateMsg::Admit(ticket(cx.clock.now(), call), tx));
     loop {
         match rx.recv_timeout(HEARTBEAT) {
             Ok(verdict) => return verdict,
@@ -218,7 +218,7 @@
     loop {
         match rx.recv_timeout(HEARTBEAT) {
             Ok(last) => {
-                cx.health.outcome(!matches!(
+                cx.health.record_outcome(!matches!(
                     last,
                     CallEvent::Refused(_) | CallEvent::Failed(_)
                 ));
--- a/crates/sapphirequayd/src/request/call.rs
+++ b/crates/sapphirequayd/src/request/call.rs
@@ -3,7 +3,9 @@
 
 use {
     crate::{
-        process::{LedgerClient, LedgerFault, Mailbox, Pick, PickRequest, RouterMsg, Try},
+        process::{
+            AttemptKind, LedgerClient, LedgerClientError, Mailbox, Pick, PickRequest, RouterMsg,
+        },
         request::{
             AttemptEnd, CallSpec, Delivery, RecordedResponse, permit_query::query_permit,
             run_attempt,
@@ -119,18 +121,18 @@
 
 impl CallContext {
     /// Asks the router for an upstream that was not tried yet.
-    fn pick(&self, order: &CallSpec, tried: &[UpstreamId], attempt: Try) -> Option<Pick> {
+    fn pick(&self, order: &CallSpec, tried: &[UpstreamId], attempt: AttemptKind) -> Option<Pick> {
         let request = &order.request;
         let req = PickRequest {
             target: request.target,
             account: request.account,
             program: request.program,
-            under_way: order.implicit.is_none(),
+            has_history: order.implicit.is_none(),
             prompt: request.prompt,
             blocks: request.blocks.clone(),
             tried: tried.into(),
             attempt,
-            draw: rand::rng().random(),
+            random: rand::rng().random(),
         };
         let asked = self.router.ask(|reply| RouterMsg::Pick(req, reply));
         asked.flatten()
@@ -228,9 +230,9 @@
     /// Asks the ledger and does what it says; `true` once the call has ended.
     fn step(&mut self) -> Result<bool> {
         let attempt = match (self.picked, self.lost > self.retried) {
-            (false, _) => Try::First,
-            (true, false) => Try::Again,
-            (true, true) => Try::Retry,
+            (false, _) => AttemptKind::First,
+            (true, false) => AttemptKind::Reroute,
+            (true, true) => AttemptKind::Retry,
         };
         (self.picked, self.retried) = (true, self.lost);
         let pick = self.cx.pick(self.order, &self.tried, attempt);
@@ -259,7 +261,7 @@
     }
 
     /// Asks the ledger whether the call may run on the chosen upstream.
-    fn begin(&self, pick: Option<&Pick>) -> std::result::Result<BeginReply, LedgerFault> {
+    fn begin(&self, pick: Option<&Pick>) -> std::result::Result<BeginReply, LedgerClientError> {
         let upstream = pick.map(|pick| (pick.upstream, pick.incarnation));
         let begin = self.order.begin(upstream.unwrap_or_default());
         let req = LedgerRequest::Begin(begin);
@@ -267,11 +269,11 @@
         match self
             .cx
             .ledger
-            .ask(self.order.request.program, &req, patience)?
+            .request(self.order.request.program, &req, patience)?
         {
             LedgerReply::Begin(reply) => Ok(reply),
             LedgerReply::Refused(err) => Ok(BeginReply::Refused(err)),
-            _ => Err(LedgerFault::Unknown),
+            _ => Err(LedgerClientError::Unknown),
         }
     }
 
@@ -347,9 +349,13 @@
             return;
         };
         if usage.cached.0 > 0 {
-            let held = u32::try_from(usage.cached.0 / BLOCK_TOKENS).unwrap_or(u32::MAX);
+            let cached_blocks = u32::try_from(usage.cached.0 / BLOCK_TOKENS).unwrap_or(u32::MAX);
             let blocks = self.order.request.blocks.clone();
-            self.cx.router.send(RouterMsg::Found { pick, blocks, held });
+            self.cx.router.send(RouterMsg::CacheObserved {
+                pick,
+                blocks,
+                cached_blocks,
+            });
         }
     }
 
@@ -520,12 +526,12 @@
         let asked = self
             .cx
             .ledger
-            .ask(self.order.request.program, &req, SETTLE_PATIENCE);
+            .request(self.order.request.program, &req, SETTLE_PATIENCE);
         match asked {
             Ok(LedgerReply::Done) => Ok(None),
             Ok(LedgerReply::Superseded(outcome)) => Ok(Some(outcome)),
             _ if may_have_run => Err(unknown_outcome()),
-            _ => Err(self.without_ledger(LedgerFault::Unknown)),
+            _ => Err(self.without_ledger(LedgerClientError::Unknown)),
         }
     }
 
@@ -555,11 +561,11 @@
     }
 
     /// The error where the ledger does not answer.
-    fn without_ledger(&self, fault: LedgerFault) -> Error {
+    fn without_ledger(&self, fault: LedgerClientError) -> Error {
         if self.lost > 0 || self.order.key_supplied {
-            fault.unreachable()
+            fault.unreachable_error()
         } else {
-            fault.not_run()
+            fault.not_run_error()
         }
     }
 
@@ -569,7 +575,12 @@
         if !self.tried.is_empty() || self.lost > 0 {
             let (program, key) = (self.order.request.program, self.order.key);
             let req = LedgerRequest::GiveUp(program, key);
-            if self.cx.ledger.ask(program, &req, BEGIN_PATIENCE).is_err() {
+            if self
+                .cx
+                .ledger
+                .request(program, &req, BEGIN_PATIENCE)
+                .is_err()
+            {
                 log::warn!("event=give_up_unheard program={program} key={key}");
             }
         }
--- a/crates/sapphirequayd/src/shutdown.rs
+++ b/crates/sapphirequayd/src/shutdown.rs
@@ -44,7 +44,7 @@
     );
     let ending = drain(lifecycle, &signals, Instant::now() + grace);
     // Entries hear that the upstream leaves, so that they ask no more.
-    daemon.linger();
+    daemon.wait_for_drain_announcement();
     match ending {
         Ending::Whole => log::info!("event=shutdown_ended in_progress=0"),
         Ending::Cut(requests) => log::error!("event=shutdown_cut in_progress={requests}"),
--- a/crates/sapphirequayd/tests/control.rs
+++ b/crates/sapphirequayd/tests/control.rs
@@ -16,7 +16,7 @@
         PermitId, ProgramId, RequestKey, SidecarRequest, UpstreamId, UpstreamState,
     },
     sapphirequayd::{
-        ControlReply, ControlRequest, Daemon, EntrySettings, LinkRequest, OperatorOrder,
+        ControlReply, ControlRequest, Daemon, EntrySettings, LinkRequest, OperatorCommand,
     },
     std::{
         net::SocketAddr,
@@ -49,7 +49,7 @@
 }
 
 fn order(id: &str, action: Action) -> ControlRequest {
-    ControlRequest::Order(Box::new(OperatorOrder {
+    ControlRequest::Command(Box::new(OperatorCommand {
         id: ChangeId(id.into()),
         cause: "test".into(),
         action,
@@ -161,7 +161,10 @@
         ledger,
         order("d-1", Action::Drain("engine-1".into())),
     );
-    assert!(matches!(drained, ControlReply::Order(Ok(_))), "{drained:?}");
+    assert!(
+        matches!(drained, ControlReply::Command(Ok(_))),
+        "{drained:?}"
+    );
     wait_for("the sidecar refuses", || {
         running.sidecar.config_index() >= ConfigIndex(3)
     });
@@ -179,7 +182,7 @@
         order("d-2", Action::Undrain("engine-1".into())),
     );
     assert!(
-        matches!(undrained, ControlReply::Order(Ok(_))),
+        matches!(undrained, ControlReply::Command(Ok(_))),
         "{undrained:?}"
     );
     let began = Instant::now();
@@ -259,7 +262,10 @@
             .into(),
     };
     let changed = control(&operator, ledger, order("c-1", change));
-    assert!(matches!(changed, ControlReply::Order(Ok(_))), "{changed:?}");
+    assert!(
+        matches!(changed, ControlReply::Command(Ok(_))),
+        "{changed:?}"
+    );
     let begin = |n: u64, config| quay_types::Begin {
         program: ProgramId::root(n),
         account: AccountId::of("a"),
@@ -289,7 +295,7 @@
 
 fn changed_index(reply: &ControlReply) -> ConfigIndex {
     match reply {
-        ControlReply::Order(Ok(accepted)) => accepted.index,
+        ControlReply::Command(Ok(accepted)) => accepted.index,
         other => panic!("{other:?}"),
     }
 }
--- a/crates/sapphirequayd/tests/log_lines.rs
+++ b/crates/sapphirequayd/tests/log_lines.rs
@@ -1,7 +1,7 @@
 //! Log lines stay within bounds and never hold up who writes them.
 
 use {
-    sapphirequayd::{LogBounds, LogLines},
+    sapphirequayd::{LogLimits, LogWriter},
     std::{
         io::{self, Write},
         sync::{
@@ -46,19 +46,19 @@
     }
 }
 
-const BOUNDS: LogBounds = LogBounds {
+const BOUNDS: LogLimits = LogLimits {
     lines_per_event_s: 3,
     waiting_lines: 100,
 };
 
-fn put(lines: &LogLines, second: u64, line: &str) {
-    lines.put_at(second, format!("{line}\n"));
+fn put(lines: &LogWriter, second: u64, line: &str) {
+    lines.write_line_at(second, format!("{line}\n"));
 }
 
 #[test]
 fn lines_of_one_event_are_bounded_and_counted_and_leave_room_for_others() {
     let kept = Kept::default();
-    let lines = LogLines::start(kept.clone(), BOUNDS).expect("thread");
+    let lines = LogWriter::start(kept.clone(), BOUNDS).expect("thread");
     for number in 0..10 {
         put(&lines, 0, &format!("event=busy id={number}"));
     }
@@ -79,11 +79,11 @@
 #[test]
 fn an_output_that_blocks_holds_nobody_up() {
     let (release, blocked): (Sender<()>, _) = channel();
-    let bounds = LogBounds {
+    let bounds = LogLimits {
         lines_per_event_s: 100_000,
         ..BOUNDS
     };
-    let lines = LogLines::start(Blocked(blocked), bounds).expect("thread");
+    let lines = LogWriter::start(Blocked(blocked), bounds).expect("thread");
     // Far more than may wait; this would not return if a line waited.
     for number in 0..10_000 {
         put(&lines, 0, &format!("event=busy id={number}"));
--- a/crates/sapphirequayd/tests/upstreams.rs
+++ b/crates/sapphirequayd/tests/upstreams.rs
@@ -164,15 +164,15 @@
     let at = Time::from_millis;
     for second in 0..3 {
         assert_eq!(health.state(), UpstreamState::Serving);
-        health.outcome(at(second * 100), false);
+        health.record_outcome(at(second * 100), false);
     }
     assert_eq!(health.state(), UpstreamState::Failing);
     assert!(!health.probe_due(at(300)));
     assert!(health.probe_due(at(1_300)));
     assert!(!health.probe_due(at(1_301)), "one probe at a time");
-    health.probed(at(1_310), true);
+    health.record_probe(at(1_310), true);
     assert_eq!(health.state(), UpstreamState::Failing);
-    health.probed(at(2_310), true);
+    health.record_probe(at(2_310), true);
     assert_eq!(health.state(), UpstreamState::Serving);
 }
 
@@ -180,7 +180,7 @@
 fn failures_among_many_successes_are_forgiven() {
     let mut health = Health::new(HealthSettings::default());
     for number in 0..100 {
-        health.outcome(Time::from_millis(number * 10), number % 5 != 0);
+        health.record_outcome(Time::from_millis(number * 10), number % 5 != 0);
     }
     assert_eq!(health.state(), UpstreamState::Serving);
 }
@@ -192,13 +192,13 @@
     let mut holds = Vec::new();
     for _ in 0..4 {
         for _ in 0..3 {
-            health.outcome(now, false);
+            health.record_outcome(now, false);
         }
         let since = now;
         while health.state() == UpstreamState::Failing {
             now = now + Duration::from_millis(100);
             if health.probe_due(now) {
-                health.probed(now, true);
+                health.record_probe(now, true);
             }
         }
         holds.push(now.since(since));
