--- a/crates/sapphirequayd/src/gateway/control_client.rs
+++ b/crates/sapphirequayd/src/gateway/control_client.rs
@@ -1,4 +1,4 @@
-//! Reaches the leader of the control group.
+//! Client that sends requests to the leader of the control group.
 
 use {
     super::{
@@ -17,19 +17,21 @@
     tokio::time::timeout,
 };
 
-/// Longest wait for one control host; upstreams turn elsewhere after a second.
-const ONE_HOST: Duration = Duration::from_millis(400);
+/// Time-out for one control host; upstreams switch to another host after 1 s.
+const HOST_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Pause after a host that knows no leader: a part of an election (0.5 s).
-const NO_LEADER_PAUSE: Duration = Duration::from_millis(30);
+/// Delay after a host reports no leader; a fraction of an election (0.5 s).
+const NO_LEADER_DELAY: Duration = Duration::from_millis(30);
 
-/// Pause before the next host is asked, so that unreachable ones cost no loop.
-const NEXT_HOST_PAUSE: Duration = Duration::from_millis(20);
+/// Delay before the next host is tried, so that unreachable hosts do not cause
+/// a busy loop.
+const NEXT_HOST_DELAY: Duration = Duration::from_millis(20);
 
-/// Hosts that are asked for one request.
-const MAX_HOPS: usize = 6;
+/// Maximum number of hosts tried for one request.
+const MAX_HOSTS_TRIED: usize = 6;
 
-/// Asks the process at an address, which plays a role, and waits for its answer.
+/// Sends a request to the process with the given address and role and waits for
+/// its reply.
 pub async fn exchange<T: DeserializeOwned>(
     links: &Links,
     (addr, role): (SocketAddr, LinkRole),
@@ -44,7 +46,7 @@
     answer.unwrap_or(Err(LinkError::Silent))
 }
 
-/// Reaches the leader of the control group; clones share what is known of it.
+/// Client of the control group; clones share the known hosts and leader.
 #[derive(Debug, Clone)]
 pub struct ControlClient {
     links: Links,
@@ -53,18 +55,21 @@
 
 #[derive(Debug)]
 struct Shared {
-    /// Links of control hosts.
+    /// Link addresses of the control hosts.
     hosts: RefCell<Vec<SocketAddr>>,
-    /// Links that the settings name; kept in case all others have gone.
+    /// Link addresses from the settings, used in addition to `hosts` in case
+    /// all hosts known from the group are gone.
     seeds: RefCell<Vec<SocketAddr>>,
+    /// Link address of the leader, if known.
     leader: Cell<Option<SocketAddr>>,
+    /// Counter for the round-robin choice of a host without a known leader.
     next: Cell<usize>,
-    /// Whether the last request reached the leader; a change is logged.
+    /// Whether the last request reached the leader; changes are logged.
     reached: Cell<bool>,
 }
 
 impl ControlClient {
-    /// A client that knows the seeds.
+    /// Creates a client that knows only the seed addresses.
     pub fn new(links: Links, seeds: Vec<SocketAddr>) -> Self {
         let shared = Shared {
             hosts: RefCell::new(seeds.clone()),
@@ -79,19 +84,21 @@
         }
     }
 
-    /// Takes other seeds.
+    /// Replaces the seed addresses.
     pub fn set_seeds(&self, seeds: Vec<SocketAddr>) {
         *self.shared.seeds.borrow_mut() = seeds;
     }
 
-    /// Learns the links of all control hosts.
+    /// Replaces the known link addresses of the control hosts, unless `hosts`
+    /// is empty.
     pub fn set_hosts(&self, hosts: Vec<SocketAddr>) {
         if !hosts.is_empty() {
             *self.shared.hosts.borrow_mut() = hosts;
         }
     }
 
-    /// The host to ask next: the leader, or the others by turns.
+    /// Returns the host to try next: the known leader, otherwise all hosts in
+    /// round-robin order.
     fn candidate(&self) -> Option<SocketAddr> {
         if let Some(leader) = self.shared.leader.get() {
             return Some(leader);
@@ -108,9 +115,9 @@
         all.into_iter().nth(turn.checked_rem(len)?)
     }
 
-    /// Asks the leader within a time; `None` if it was not reached.
+    /// Sends a request to the leader; `None` if no reply came within the time.
     ///
-    /// The request may have been carried out all the same.
+    /// A request without a reply may still have been executed.
     pub async fn request(&self, req: ControlRequest, within: Duration) -> Option<ControlReply> {
         let req = LinkRequest::Gateway(GatewayRequest::Control(req));
         let reply = timeout(within, self.request_leader(&req))
@@ -129,26 +136,28 @@
         reply
     }
 
+    /// Tries up to `MAX_HOSTS_TRIED` hosts until one of them replies as the
+    /// leader.
     async fn request_leader(&self, req: &LinkRequest) -> Option<ControlReply> {
-        for _ in 0..MAX_HOPS {
+        for _ in 0..MAX_HOSTS_TRIED {
             let addr = self.candidate()?;
             let wait = match req {
                 LinkRequest::Gateway(GatewayRequest::Control(ControlRequest::Follow(_))) => {
-                    ONE_HOST + super::control::FOLLOW_POLL_TIMEOUT
+                    HOST_TIMEOUT + super::control::FOLLOW_POLL_TIMEOUT
                 }
-                _ => ONE_HOST,
+                _ => HOST_TIMEOUT,
             };
             match exchange(&self.links, (addr, LinkRole::Ledger), req, wait).await {
                 Ok(ControlReply::NotLeader(leader)) => {
                     let leader = leader.filter(|leader| *leader != addr);
                     self.shared.leader.set(leader);
                     if leader.is_none() {
-                        tokio::time::sleep(NO_LEADER_PAUSE).await;
+                        tokio::time::sleep(NO_LEADER_DELAY).await;
                     }
                 }
                 Ok(ControlReply::Unavailable) | Err(_) => {
                     self.shared.leader.set(None);
-                    tokio::time::sleep(NEXT_HOST_PAUSE).await;
+                    tokio::time::sleep(NEXT_HOST_DELAY).await;
                 }
                 Ok(reply) => {
                     self.shared.leader.set(Some(addr));
--- a/crates/sapphirequayd/src/gateway/front/call.rs
+++ b/crates/sapphirequayd/src/gateway/front/call.rs
@@ -1,13 +1,13 @@
-//! One request of a caller.
+//! Handling of one request of a caller.
 
 use {
     super::{
-        connections::{Lease, SendFault},
+        connections::{Lease, SendError},
         host::FrontHost,
         refusal::Refusal,
         reservation::Reservation,
-        stream::{Keeping, Passing},
-        upstreams::Chosen,
+        stream::{PendingTurn, StreamRelay},
+        upstreams::SelectedUpstream,
     },
     crate::gateway::{
         http_server::{Body, full},
@@ -28,38 +28,40 @@
     tokio::time::timeout,
 };
 
-/// Sends of one request that upstreams may answer as not run, beside those
-/// that count as attempts.
+/// Number of attempts that end without the request being run after which the
+/// request is refused; counted separately from `max_attempts` of the route.
 const MAX_NOT_RUN: u32 = 3;
 
-/// Largest answer that is held in memory, in bytes.
-const MAX_ANSWER_BYTES: usize = 8 << 20;
+/// Maximum size in bytes of a response that is buffered in memory.
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
-/// Silence of an upstream, at the end of a request, that counts as a failure;
-/// callers abandon a stream after two seconds of it.
-const SILENT: Duration = Duration::from_secs(1);
+/// Silence of an upstream before an abandoned request ends that counts as the
+/// upstream's failure; callers abandon a stream after 2 s of silence.
+const SILENCE_LIMIT: Duration = Duration::from_secs(1);
 
-/// Least time for one of several attempts of an idempotent request.
-const LEAST_ATTEMPT: Duration = Duration::from_millis(150);
+/// Minimum time for one of several attempts of an idempotent request.
+const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(150);
 
-/// A request at its upstream; the upstream counts as free again when dropped.
-pub struct Sent<D: Dialect> {
+/// Request in flight at an upstream; dropping it records the end of the
+/// request.
+pub struct InFlight<D: Dialect> {
     front: FrontHost<D>,
-    chosen: Chosen,
-    /// `None` once the connection was given back.
+    upstream: SelectedUpstream,
+    /// `None` before the response and once the connection is back in the pool.
     lease: Option<Lease>,
-    /// Whether the upstream may have got the request.
+    /// Whether the upstream may have received the request.
     offered: bool,
-    since: Time,
-    /// When the upstream was heard last; when the request was sent, before.
-    heard: Cell<Time>,
-    /// Whether it is noted how the upstream did.
-    rated: Cell<bool>,
+    started: Time,
+    /// Time of the last data from the upstream, initially the start of the
+    /// attempt.
+    last_activity: Cell<Time>,
+    /// Whether the upstream's performance is recorded.
+    recorded: Cell<bool>,
 }
 
-impl<D: Dialect> Sent<D> {
-    /// The answer has come whole: the connection may be used again.
-    pub fn whole(&mut self, headers: &HeaderMap) {
+impl<D: Dialect> InFlight<D> {
+    /// Returns the connection to the pool after a complete response.
+    pub fn return_connection(&mut self, headers: &HeaderMap) {
         if let Some(lease) = self.lease.take() {
             self.front.connections().give_back(lease, headers);
         }
@@ -67,85 +69,91 @@
 
     /// Name of the upstream.
     pub fn upstream_name(&self) -> &str {
-        &self.chosen.name
+        &self.upstream.name
     }
 
-    /// Time since the request was sent.
+    /// Time since the start of the attempt.
     pub fn elapsed(&self) -> Duration {
-        self.front.now().since(self.since)
+        self.front.now().since(self.started)
     }
 
-    /// Something came from the upstream.
-    pub fn heard(&self) {
-        self.heard.set(self.front.now());
+    /// Records that data came from the upstream.
+    pub fn record_activity(&self) {
+        self.last_activity.set(self.front.now());
     }
 
-    /// The upstream did its work; `took` is the time of one unit of it.
-    pub fn served(&self, took: Duration) {
-        self.rated.set(true);
+    /// Records a success; `duration` is the time per unit of work.
+    pub fn record_success(&self, duration: Duration) {
+        self.recorded.set(true);
         let now = self.front.now();
-        self.front.upstreams().served(now, self.chosen.id, took);
+        self.front
+            .upstreams()
+            .record_success(now, self.upstream.id, duration);
     }
 
-    /// The upstream did its work, of which too little is known to say how fast.
-    pub fn done(&self) {
-        self.rated.set(true);
+    /// Records a success with too little data to measure the upstream's speed.
+    pub fn record_untimed_success(&self) {
+        self.recorded.set(true);
     }
 
-    /// The request was given up: that is the upstream's fault if it was silent.
-    pub fn given_up(&self) {
-        self.rated.set(true);
-        if self.front.now().since(self.heard.get()) >= SILENT {
-            self.failed();
+    /// Records an abandoned request, as a failure if the upstream was silent
+    /// for `SILENCE_LIMIT`.
+    pub fn record_abandoned(&self) {
+        self.recorded.set(true);
+        if self.front.now().since(self.last_activity.get()) >= SILENCE_LIMIT {
+            self.record_failure();
         }
     }
 
-    /// The upstream lost or spoilt the request.
-    pub fn failed(&self) {
-        self.rated.set(true);
+    /// Records that the upstream failed the request.
+    pub fn record_failure(&self) {
+        self.recorded.set(true);
         let now = self.front.now();
-        self.front.upstreams().failed(now, self.chosen.id);
+        self.front.upstreams().record_failure(now, self.upstream.id);
     }
 }
 
-impl<D: Dialect> Drop for Sent<D> {
+impl<D: Dialect> Drop for InFlight<D> {
     fn drop(&mut self) {
         let now = self.front.now();
-        if !self.rated.get() && self.offered {
-            self.given_up();
+        if !self.recorded.get() && self.offered {
+            self.record_abandoned();
         }
-        self.front.upstreams().ended(now, self.chosen.id);
+        self.front.upstreams().record_end(now, self.upstream.id);
     }
 }
 
-/// How one try ended.
-enum Tried<D: Dialect> {
-    /// An answer for the caller.
-    Answer(Box<Sent<D>>, Box<response::Parts>, Incoming),
-    /// A whole answer for the caller.
-    Whole(Response<Body>),
-    /// The upstream did not run it and never will.
+/// Result of one attempt.
+enum AttemptResult<D: Dialect> {
+    /// A stream to relay to the caller.
+    Stream(Box<InFlight<D>>, Box<response::Parts>, Incoming),
+    /// A complete response for the caller.
+    Complete(Response<Body>),
+    /// The upstream did not run the request and never will.
     NotRun,
-    /// No upstream is left to try.
+    /// There is no upstream left to try.
     NoUpstream,
-    /// It may have run.
+    /// The request may have run; holds the cause of the loss.
     Unknown(&'static str),
 }
 
-/// One request of a caller, once its route is known.
+/// Request of a caller with its route.
 struct Call<'a, D: Dialect> {
     front: &'a FrontHost<D>,
     head: &'a CallHead,
     parts: &'a request::Parts,
     route: &'a Route,
     arrived: Time,
-    allowance: RequestDeadline,
+    deadline: RequestDeadline,
     service: &'a str,
+    /// Number of tokens that an event of the service counts as.
     event_tokens: u64,
+    /// Hash of the request id, used as the random number for routing and
+    /// jitter.
     draw: u64,
 }
 
-/// Answers one request.
+/// Serves one request.
 pub async fn answer<D: Dialect>(front: FrontHost<D>, req: Request<Incoming>) -> Response<Body> {
     let arrived = front.now();
     let (parts, body) = req.into_parts();
@@ -153,17 +161,17 @@
         Ok(head) => head,
         Err(fault) => {
             log::info!("event=call_refused cause=\"{fault}\" uri={}", parts.uri);
-            return Refusal::BadHead.answer(0);
+            return Refusal::BadHead.response(0);
         }
     };
     let draw = AttemptTag::of(&head.id).0;
-    let answered = answer_known(&front, arrived, &parts, &head, body, draw).await;
-    let took = front.now().since(arrived);
-    let ms = took.as_millis();
+    let answered = route_request(&front, arrived, &parts, &head, body, draw).await;
+    let duration = front.now().since(arrived);
+    let ms = duration.as_millis();
     let mut response = match answered {
         Ok(response) => {
             let status = response.status().as_u16();
-            meters::record_call(status, took);
+            meters::record_call(status, duration);
             log::info!("event=call_answered id={} status={status} ms={ms}", head.id);
             response
         }
@@ -174,9 +182,9 @@
                 refusal.name(),
                 refusal.status()
             );
-            meters::record_call(refusal.status(), took);
+            meters::record_call(refusal.status(), duration);
             meters::record_refusal(refusal.name());
-            let mut response = refusal.answer(draw);
+            let mut response = refusal.response(draw);
             front
                 .dialect()
                 .gateway_response_headers(&head, response.headers_mut());
@@ -192,7 +200,8 @@
     response
 }
 
-async fn answer_known<D: Dialect>(
+/// Finds the route of a request and runs the request on an upstream.
+async fn route_request<D: Dialect>(
     front: &FrontHost<D>,
     arrived: Time,
     parts: &request::Parts,
@@ -200,50 +209,50 @@
     body: Incoming,
     draw: u64,
 ) -> Result<Response<Body>, Refusal> {
-    // Without a table the route's own limit is not known yet.
-    let patience = head.caller_timeout.unwrap_or(Duration::MAX);
-    let table = front.table_soon(arrived + patience).await;
+    // The route's own time-out is unknown until there is a table.
+    let caller_timeout = head.caller_timeout.unwrap_or(Duration::MAX);
+    let table = front.wait_for_table(arrived + caller_timeout).await;
     let table = table.ok_or(Refusal::NoTable)?;
     let route = table.find(&head.host, &head.path);
-    let unknown = if front.in_touch(arrived) {
+    let unknown = if front.control_is_fresh(arrived) {
         Refusal::NoRoute
     } else {
         Refusal::NoTable
     };
     let route = route.ok_or(unknown)?;
-    let allowance = RequestDeadline::new(arrived, head.caller_timeout, route.timeout);
+    let deadline = RequestDeadline::new(arrived, head.caller_timeout, route.timeout);
     let share = ProgramTag::of(head.program.as_deref().unwrap_or(&head.id)).0;
     let service = route.target(share).ok_or(Refusal::NoUpstream)?;
     let known = table.service(service);
     let event_tokens = known.map_or(0, |service| service.event_tokens.into());
     let limit = table.limits.body_bytes as usize;
-    let body = read_body(front, body, limit, &allowance).await?;
-    front.served_soon(service, allowance.at()).await;
+    let body = read_body(front, body, limit, &deadline).await?;
+    front.wait_for_service(service, deadline.at()).await;
     let call = Call {
         front,
         head,
         parts,
         route,
         arrived,
-        allowance,
+        deadline,
         service,
         event_tokens,
         draw,
     };
     match &head.turn {
-        Some(turn) if route.repeat.is_stream() => call.turn(turn, body).await,
+        Some(turn) if route.repeat.is_stream() => call.run_turn(turn, body).await,
         _ => call.run(body, None, None).await,
     }
 }
 
-/// Reads a request's body whole.
+/// Reads the complete body of a request.
 async fn read_body<D: Dialect>(
     front: &FrontHost<D>,
     body: Incoming,
     limit: usize,
-    allowance: &RequestDeadline,
+    deadline: &RequestDeadline,
 ) -> Result<Bytes, Refusal> {
-    let left = allowance.remaining(front.now());
+    let left = deadline.remaining(front.now());
     match timeout(left, Limited::new(body, limit).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(err)) if err.is::<http_body_util::LengthLimitError>() => Err(Refusal::BodyTooLarge),
@@ -255,34 +264,34 @@
     // -----------------------------------------------------------------------
     // Turns
 
-    /// Runs a turn of a program: its budget must cover it, and what was said
-    /// before comes before its input.
-    async fn turn(&self, turn: &TurnHead, input: Bytes) -> Result<Response<Body>, Refusal> {
-        let (reserved, before) = tokio::join!(self.reserve(turn), self.before(turn));
+    /// Runs a turn of a program: reserves its tokens from the program's budget
+    /// and puts the conversation before the turn's input.
+    async fn run_turn(&self, turn: &TurnHead, input: Bytes) -> Result<Response<Body>, Refusal> {
+        let (reserved, history) = tokio::join!(self.reserve(turn), self.history(turn));
         let reservation = reserved?;
-        let before = before?;
-        let Some(keep) = self.route.retention else {
+        let history = history?;
+        let Some(retention) = self.route.retention else {
             return self.run(input, None, reservation).await;
         };
-        let body = if before.is_empty() {
+        let body = if history.is_empty() {
             input.clone()
         } else {
-            let mut body = BytesMut::with_capacity(before.len() + input.len());
-            body.extend_from_slice(&before);
+            let mut body = BytesMut::with_capacity(history.len() + input.len());
+            body.extend_from_slice(&history);
             body.extend_from_slice(&input);
             body.freeze()
         };
-        let keeping = Keeping {
+        let pending_turn = PendingTurn {
             id: TurnId::of(&self.head.id),
             prior: turn.prior.as_deref().map(TurnId::of),
-            keep,
-            before,
+            retention,
+            history,
             input,
         };
-        self.run(body, Some(keeping), reservation).await
+        self.run(body, Some(pending_turn), reservation).await
     }
 
-    /// Reserves the most that the turn may use of the program's budget.
+    /// Reserves the maximum tokens of the turn from the program's budget.
     async fn reserve(&self, turn: &TurnHead) -> Result<Option<Reservation>, Refusal> {
         let (Some(budget), Some(program)) = (turn.budget, &self.head.program) else {
             return Ok(None);
@@ -295,9 +304,10 @@
             tokens: Tokens(turn.max_tokens),
         };
         let stores = self.front.stores();
-        // From here on the reservation is settled whatever happens.
+        // Created before the reservation is written, so that dropping it
+        // settles the reservation on every way out.
         let reservation = Reservation::new(stores.clone(), program, attempt);
-        let left = self.allowance.remaining(self.front.now());
+        let left = self.deadline.remaining(self.front.now());
         match stores.reserve(program, own, Tokens(budget), left).await {
             ReserveOutcome::Covered => Ok(Some(reservation)),
             ReserveOutcome::Spent { others } => {
@@ -312,26 +322,26 @@
         }
     }
 
-    /// What was said before the turn.
-    async fn before(&self, turn: &TurnHead) -> Result<Bytes, Refusal> {
+    /// Returns the conversation before the turn, from the cache or the stores.
+    async fn history(&self, turn: &TurnHead) -> Result<Bytes, Refusal> {
         let (Some(prior), Some(_)) = (&turn.prior, self.route.retention) else {
             return Ok(Bytes::new());
         };
         let id = TurnId::of(prior);
-        if let Some(before) = self.front.chain(id) {
-            return Ok(before);
+        if let Some(history) = self.front.cached_conversation(id) {
+            return Ok(history);
         }
-        let left = self.allowance.remaining(self.front.now());
+        let left = self.deadline.remaining(self.front.now());
         match self.front.stores().lookup_turns(id, left).await {
             TurnLookup::Found(turns) => {
-                let mut before = BytesMut::new();
+                let mut history = BytesMut::new();
                 for turn in turns {
-                    before.extend_from_slice(&turn.input);
-                    before.extend_from_slice(&turn.output);
+                    history.extend_from_slice(&turn.input);
+                    history.extend_from_slice(&turn.output);
                 }
-                let before = before.freeze();
-                self.front.put_chain(id, before.clone());
-                Ok(before)
+                let history = history.freeze();
+                self.front.cache_conversation(id, history.clone());
+                Ok(history)
             }
             TurnLookup::Absent => {
                 log::info!("event=turn_absent id={} prior={prior}", self.head.id);
@@ -344,58 +354,58 @@
     // -----------------------------------------------------------------------
     // Upstreams
 
-    /// Runs the request on an upstream, on another one if that may be.
+    /// Runs the request on an upstream; retries on others where that is safe.
     async fn run(
         &self,
         body: Bytes,
-        keeping: Option<Keeping>,
+        pending_turn: Option<PendingTurn>,
         reservation: Option<Reservation>,
     ) -> Result<Response<Body>, Refusal> {
         let mut tried = Vec::new();
         let (mut attempts, mut not_run) = (0, 0);
         loop {
-            let left = self.allowance.remaining(self.front.now());
+            let left = self.deadline.remaining(self.front.now());
             if left.is_zero() {
                 return Err(Refusal::TooLate);
             }
             let limit = self.attempt_limit(left, attempts);
-            let outcome = self.try_one(&body, limit, &mut tried).await;
+            let outcome = self.attempt_one(&body, limit, &mut tried).await;
             match outcome {
-                Tried::Whole(response) => return Ok(response),
-                Tried::Answer(sent, head, incoming) => {
-                    let first = sent.elapsed();
-                    let sent_after = sent.since.since(self.arrived);
-                    meters::record_stage(Stage::Wait, sent_after);
-                    meters::record_stage(Stage::First, first);
-                    let passing = Passing {
+                AttemptResult::Complete(response) => return Ok(response),
+                AttemptResult::Stream(in_flight, head, incoming) => {
+                    let first = in_flight.elapsed();
+                    let queue_time = in_flight.started.since(self.arrived);
+                    meters::record_stage(Stage::Wait, queue_time);
+                    meters::record_stage(Stage::FirstResponse, first);
+                    let relay = StreamRelay {
                         front: self.front.clone(),
-                        sent: *sent,
+                        in_flight: *in_flight,
                         id: self.head.id.clone(),
-                        keeping,
+                        pending_turn,
                         reservation,
                         event_tokens: self.event_tokens,
-                        ends: self.allowance.at(),
-                        wait_ms: sent_after.as_millis(),
+                        ends: self.deadline.at(),
+                        wait_ms: queue_time.as_millis(),
                         first_ms: first.as_millis(),
                     };
-                    let body = passing.start(&head, incoming);
+                    let body = relay.start(&head, incoming);
                     return Ok(self.response(&head, body));
                 }
-                Tried::NotRun => {
+                AttemptResult::NotRun => {
                     not_run += 1;
                     if not_run >= MAX_NOT_RUN {
                         return Err(Refusal::UpstreamsFull);
                     }
                 }
-                Tried::NoUpstream if not_run > 0 => return Err(Refusal::UpstreamsFull),
-                Tried::NoUpstream if attempts > 0 => return Err(Refusal::OutcomeUnknown),
-                Tried::NoUpstream => return Err(Refusal::NoUpstream),
-                Tried::Unknown(why) => {
+                AttemptResult::NoUpstream if not_run > 0 => return Err(Refusal::UpstreamsFull),
+                AttemptResult::NoUpstream if attempts > 0 => return Err(Refusal::OutcomeUnknown),
+                AttemptResult::NoUpstream => return Err(Refusal::NoUpstream),
+                AttemptResult::Unknown(why) => {
                     attempts += 1;
                     log::info!("event=attempt_lost id={} cause={why}", self.head.id);
                     meters::record_lost_attempt(why);
                     let idempotent = self.route.repeat == RepeatPolicy::Idempotent;
-                    let time_over = self.allowance.remaining(self.front.now()).is_zero();
+                    let time_over = self.deadline.remaining(self.front.now()).is_zero();
                     if time_over {
                         return Err(Refusal::TimedOut);
                     }
@@ -407,110 +417,121 @@
         }
     }
 
-    /// Time for the next attempt: an idempotent request leaves some for others.
+    /// Time-out of the next attempt: an idempotent request divides the time
+    /// left among its remaining attempts.
     fn attempt_limit(&self, left: Duration, attempts: u32) -> Duration {
         let more = self.route.max_attempts.saturating_sub(attempts).max(1);
         if self.route.repeat == RepeatPolicy::Idempotent && more > 1 {
-            (left / more).max(LEAST_ATTEMPT).min(left)
+            (left / more).max(MIN_ATTEMPT_TIME).min(left)
         } else {
             left
         }
     }
 
-    /// Tries one upstream.
-    async fn try_one(
+    /// Makes one attempt on one upstream.
+    async fn attempt_one(
         &self,
         body: &Bytes,
         limit: Duration,
         tried: &mut Vec<UpstreamId>,
-    ) -> Tried<D> {
+    ) -> AttemptResult<D> {
         let now = self.front.now();
-        let chosen = self
-            .front
-            .upstreams()
-            .choose(now, self.service, self.head, tried, self.draw);
-        let Some(chosen) = chosen else {
-            return Tried::NoUpstream;
+        let upstream =
+            self.front
+                .upstreams()
+                .select(now, self.service, self.head, tried, self.draw);
+        let Some(upstream) = upstream else {
+            return AttemptResult::NoUpstream;
         };
-        tried.push(chosen.id);
-        let mut sent = Sent {
+        tried.push(upstream.id);
+        let mut in_flight = InFlight {
             front: self.front.clone(),
-            chosen,
+            upstream,
             lease: None,
             offered: false,
-            since: now,
-            heard: Cell::new(now),
-            rated: Cell::default(),
+            started: now,
+            last_activity: Cell::new(now),
+            recorded: Cell::default(),
         };
-        let exchange = self.exchange(&mut sent, body);
+        let exchange = self.exchange(&mut in_flight, body);
         match timeout(limit, exchange).await {
-            Ok(Ok((head, incoming))) => self.judge(sent, head, incoming, limit).await,
+            Ok(Ok((head, incoming))) => {
+                self.handle_response(in_flight, head, incoming, limit).await
+            }
             Ok(Err(tried)) => {
-                if matches!(tried, Tried::Unknown(_)) {
-                    sent.failed();
+                if matches!(tried, AttemptResult::Unknown(_)) {
+                    in_flight.record_failure();
                 }
                 tried
             }
-            Err(_) if !sent.offered => Tried::NotRun,
+            Err(_) if !in_flight.offered => AttemptResult::NotRun,
             Err(_) => {
-                sent.failed();
-                Tried::Unknown("upstream_silent")
+                in_flight.record_failure();
+                AttemptResult::Unknown("upstream_silent")
             }
         }
     }
 
-    /// Sends the request and waits for the head of the answer.
+    /// Sends the request and waits for the head of the response.
+    ///
+    /// Retries on another connection if a reused one was closed before the
+    /// request was written.
     async fn exchange(
         &self,
-        sent: &mut Sent<D>,
+        in_flight: &mut InFlight<D>,
         body: &Bytes,
-    ) -> Result<(response::Parts, Incoming), Tried<D>> {
+    ) -> Result<(response::Parts, Incoming), AttemptResult<D>> {
         loop {
-            let mut lease = match self.front.connections().lease(sent.chosen.addr).await {
+            let mut lease = match self
+                .front
+                .connections()
+                .lease(in_flight.upstream.addr)
+                .await
+            {
                 Ok(lease) => lease,
                 Err(err) => {
                     log::info!(
                         "event=upstream_unreachable id={} upstream={} cause=\"{err}\"",
                         self.head.id,
-                        sent.chosen.name
+                        in_flight.upstream.name
                     );
                     let now = self.front.now();
-                    self.front.upstreams().unreachable(now, sent.chosen.id);
-                    return Err(Tried::NotRun);
+                    self.front.upstreams().suspend(now, in_flight.upstream.id);
+                    return Err(AttemptResult::NotRun);
                 }
             };
             let reused = lease.reused();
-            let req = self.request(&sent.chosen, body);
-            sent.offered = true;
+            let req = self.request(&in_flight.upstream, body);
+            in_flight.offered = true;
             match lease.send(req).await {
                 Ok(response) => {
-                    sent.lease = Some(lease);
-                    sent.heard();
+                    in_flight.lease = Some(lease);
+                    in_flight.record_activity();
                     return Ok(response.into_parts());
                 }
-                Err(SendFault::NotSent) => {
-                    sent.offered = false;
+                Err(SendError::NotSent) => {
+                    in_flight.offered = false;
                     if !reused {
-                        return Err(Tried::NotRun);
+                        return Err(AttemptResult::NotRun);
                     }
                 }
-                Err(SendFault::Unknown(err)) => {
+                Err(SendError::Unknown(err)) => {
                     log::info!(
                         "event=upstream_lost id={} upstream={} reused={reused} cause=\"{err}\"",
                         self.head.id,
-                        sent.chosen.name
+                        in_flight.upstream.name
                     );
-                    return Err(Tried::Unknown("connection_lost"));
+                    return Err(AttemptResult::Unknown("connection_lost"));
                 }
             }
         }
     }
 
-    /// The request as the upstream gets it.
-    fn request(&self, chosen: &Chosen, body: &Bytes) -> Request<Full<Bytes>> {
+    /// Creates the request that is forwarded to the upstream.
+    fn request(&self, upstream: &SelectedUpstream, body: &Bytes) -> Request<Full<Bytes>> {
         let forwarding = Forwarding {
-            upstream: &chosen.name,
-            time_left: self.allowance.remaining(self.front.now()),
+            upstream: &upstream.name,
+            time_left: self.deadline.remaining(self.front.now()),
         };
         let headers = self
             .front
@@ -523,54 +544,57 @@
         req
     }
 
-    /// Decides what an answer is to the caller.
-    async fn judge(
+    /// Handles the response of an upstream: a stream, a complete response, or a
+    /// failed attempt.
+    async fn handle_response(
         &self,
-        mut sent: Sent<D>,
+        mut in_flight: InFlight<D>,
         head: response::Parts,
         incoming: Incoming,
         limit: Duration,
-    ) -> Tried<D> {
+    ) -> AttemptResult<D> {
         let answer = self.front.dialect().parse_response(&head);
         let now = self.front.now();
         let not_run = answer.execution != Execution::Possible;
         if answer.execution == Execution::Misdirected {
-            self.front.upstreams().unreachable(now, sent.chosen.id);
+            self.front.upstreams().suspend(now, in_flight.upstream.id);
         }
         if let Some(load) = answer.load {
-            self.front.upstreams().reported(now, sent.chosen.id, load);
+            self.front
+                .upstreams()
+                .apply_load_report(now, in_flight.upstream.id, load);
         }
-        if let Some(fault) = self.fault(&answer, not_run) {
-            sent.failed();
-            return Tried::Unknown(fault);
+        if let Some(fault) = self.mismatch(&answer, not_run) {
+            in_flight.record_failure();
+            return AttemptResult::Unknown(fault);
         }
         if head.status.is_server_error() && !not_run {
-            sent.failed();
+            in_flight.record_failure();
         }
         if self.route.repeat.is_stream() && head.status == StatusCode::OK && !not_run {
-            return Tried::Answer(Box::new(sent), Box::new(head), incoming);
+            return AttemptResult::Stream(Box::new(in_flight), Box::new(head), incoming);
         }
-        let body = timeout(limit, Limited::new(incoming, MAX_ANSWER_BYTES).collect()).await;
+        let body = timeout(limit, Limited::new(incoming, MAX_RESPONSE_BYTES).collect()).await;
         let body = match body {
             Ok(Ok(body)) => body.to_bytes(),
-            _ if not_run => return Tried::NotRun,
+            _ if not_run => return AttemptResult::NotRun,
             _ => {
-                sent.failed();
-                return Tried::Unknown("answer_cut");
+                in_flight.record_failure();
+                return AttemptResult::Unknown("answer_cut");
             }
         };
         if head.status.is_success() {
-            sent.served(sent.elapsed());
+            in_flight.record_success(in_flight.elapsed());
         }
-        sent.whole(&head.headers);
+        in_flight.return_connection(&head.headers);
         if not_run {
-            return Tried::NotRun;
+            return AttemptResult::NotRun;
         }
-        Tried::Whole(self.response(&head, full(body)))
+        AttemptResult::Complete(self.response(&head, full(body)))
     }
 
-    /// Why an answer is not one to this request, if it is not.
-    fn fault(&self, answer: &UpstreamHead, not_run: bool) -> Option<&'static str> {
+    /// Returns why a response is invalid for this request, if so.
+    fn mismatch(&self, answer: &UpstreamHead, not_run: bool) -> Option<&'static str> {
         if answer.id.as_deref().is_some_and(|id| id != &*self.head.id) {
             Some("answer_to_another")
         } else if answer.id.is_none() && !not_run {
@@ -582,7 +606,7 @@
         }
     }
 
-    /// The answer as the caller gets it.
+    /// Creates the response that is sent to the caller.
     fn response(&self, head: &response::Parts, body: Body) -> Response<Body> {
         let mut response = Response::new(body);
         *response.status_mut() = head.status;
--- a/crates/sapphirequayd/src/gateway/front/connections.rs
+++ b/crates/sapphirequayd/src/gateway/front/connections.rs
@@ -1,4 +1,4 @@
-//! Connections to upstreams.
+//! Pool of HTTP connections to upstreams.
 
 use {
     bytes::Bytes,
@@ -21,24 +21,25 @@
     },
 };
 
-/// Longest time to set up a connection: many round trips between data
-/// centres, and less than the resending of a lost first packet.
-const CONNECT_WITHIN: Duration = Duration::from_millis(350);
+/// Time-out for setting up a connection: many round trips between data centres,
+/// but less than the retransmission of a lost first packet takes.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// Time after which bytes that a peer does not acknowledge end a connection.
-const UNACKED: Duration = Duration::from_secs(3);
+/// Time after which a connection with unacknowledged bytes is closed
+/// (`TCP_USER_TIMEOUT`).
+const UNACKED_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Idle time after which a connection is not used again, where the upstream
-/// names none.
-const IDLE_DEFAULT: Duration = Duration::from_secs(4);
+/// Idle time after which a connection is not reused, if the upstream sends no
+/// keep-alive time-out.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Connections that stay open to one upstream without a request.
-const MAX_IDLE: usize = 12;
+/// Maximum number of idle connections to one upstream.
+const MAX_IDLE_CONNECTIONS: usize = 12;
 
 /// Body of a request to an upstream.
 type RequestBody = Full<Bytes>;
 
-/// A connection without a request.
+/// An idle connection.
 #[derive(Debug)]
 struct Idle {
     sender: http1::SendRequest<RequestBody>,
@@ -46,21 +47,22 @@
     until: Instant,
 }
 
-/// Connections to upstreams that wait for a request.
+/// Pool of idle connections to upstreams.
 #[derive(Debug, Clone, Default)]
 pub struct Connections(Rc<RefCell<IndexMap<SocketAddr, Vec<Idle>>>>);
 
-/// A connection that serves a request; it is closed at once when dropped.
+/// A connection in use by a request; dropping it closes the connection at once.
 #[derive(Debug)]
 pub struct Lease {
     addr: SocketAddr,
     sender: http1::SendRequest<RequestBody>,
-    /// Whether requests came over the connection before.
+    /// Whether the connection served an earlier request.
     reused: bool,
     task: CloseOnDrop,
 }
 
-/// Ends the task that drives a connection, which closes the connection.
+/// Aborts the task that drives a connection when dropped, which closes the
+/// connection.
 #[derive(Debug)]
 struct CloseOnDrop(AbortHandle);
 
@@ -70,21 +72,21 @@
     }
 }
 
-/// Why there is no answer.
+/// Reason why a request got no response.
 #[derive(Debug)]
-pub enum SendFault {
-    /// Not a byte of the request was written.
+pub enum SendError {
+    /// No byte of the request was written.
     NotSent,
     /// The request may have reached the upstream.
     Unknown(hyper::Error),
 }
 
 impl Connections {
-    /// A connection to an address.
+    /// Takes an idle connection to an address or sets up a new one.
     ///
     /// # Errors
     ///
-    /// If none could be set up; nothing was sent then.
+    /// If no connection could be set up; nothing was sent in this case.
     pub async fn lease(&self, addr: SocketAddr) -> std::io::Result<Lease> {
         while let Some(idle) = self.take(addr) {
             if idle.sender.is_ready() && idle.until > Instant::now() {
@@ -96,11 +98,11 @@
                 });
             }
         }
-        let connecting = timeout(CONNECT_WITHIN, TcpStream::connect(addr));
+        let connecting = timeout(CONNECT_TIMEOUT, TcpStream::connect(addr));
         let stream = connecting.await.map_err(std::io::Error::from)??;
         stream.set_nodelay(true)?;
         let socket = SockRef::from(&stream);
-        if let Err(err) = socket.set_tcp_user_timeout(Some(UNACKED)) {
+        if let Err(err) = socket.set_tcp_user_timeout(Some(UNACKED_TIMEOUT)) {
             log::debug!("event=user_timeout_unset cause={err}");
         }
         let handshake = http1::handshake(TokioIo::new(stream)).await;
@@ -118,66 +120,68 @@
         })
     }
 
-    /// The connection that was used last.
+    /// Takes the most recently used idle connection.
     fn take(&self, addr: SocketAddr) -> Option<Idle> {
         self.0.borrow_mut().get_mut(&addr)?.pop()
     }
 
-    /// Takes a connection back after a whole answer with these headers.
+    /// Returns a connection to the pool after a complete response with the
+    /// given headers, which tell whether and how long it may be reused.
     pub fn give_back(&self, lease: Lease, headers: &HeaderMap) {
         let idle = idle_time(headers);
         if idle.is_zero() || lease.sender.is_closed() {
             return;
         }
         let mut all = self.0.borrow_mut();
-        let held = all.entry(lease.addr).or_default();
-        if held.len() >= MAX_IDLE {
+        let pooled = all.entry(lease.addr).or_default();
+        if pooled.len() >= MAX_IDLE_CONNECTIONS {
             return;
         }
-        held.push(Idle {
+        pooled.push(Idle {
             sender: lease.sender,
             task: lease.task,
             until: Instant::now() + idle,
         });
     }
 
-    /// Closes the connections that have been idle for too long.
+    /// Closes connections that are past their idle time.
     pub fn close_idle(&self) {
         let now = Instant::now();
         let mut all = self.0.borrow_mut();
-        for held in all.values_mut() {
-            held.retain(|idle| idle.until > now && !idle.sender.is_closed());
+        for pooled in all.values_mut() {
+            pooled.retain(|idle| idle.until > now && !idle.sender.is_closed());
         }
-        all.retain(|_, held| !held.is_empty());
+        all.retain(|_, pooled| !pooled.is_empty());
     }
 }
 
 impl Lease {
-    /// Whether requests came over the connection before.
+    /// Whether the connection served an earlier request.
     pub const fn reused(&self) -> bool {
         self.reused
     }
 
-    /// Sends a request and waits for the head of the answer.
+    /// Sends a request and waits for the head of the response.
     ///
     /// # Errors
     ///
-    /// Tells whether the upstream may have got the request.
+    /// If there is no response; tells whether the upstream may have received
+    /// the request.
     pub async fn send(
         &mut self,
         req: Request<RequestBody>,
-    ) -> Result<Response<Incoming>, SendFault> {
+    ) -> Result<Response<Incoming>, SendError> {
         match self.sender.try_send_request(req).await {
             Ok(response) => Ok(response),
             Err(mut err) => match err.take_message() {
-                Some(_) => Err(SendFault::NotSent),
-                None => Err(SendFault::Unknown(err.into_error())),
+                Some(_) => Err(SendError::NotSent),
+                None => Err(SendError::Unknown(err.into_error())),
             },
         }
     }
 }
 
-/// Time for which a connection may be used again after an answer.
+/// Time for which a connection may be reused after a response.
 fn idle_time(headers: &HeaderMap) -> Duration {
     let text = |name| headers.get(name).and_then(|value| value.to_str().ok());
     let closes =
@@ -185,14 +189,14 @@
     if closes {
         return Duration::ZERO;
     }
-    let named = text(header::HeaderName::from_static("keep-alive")).and_then(|value| {
+    let announced = text(header::HeaderName::from_static("keep-alive")).and_then(|value| {
         let timeout = value
             .split(',')
             .find_map(|part| part.trim().strip_prefix("timeout="));
         timeout?.trim().parse().ok()
     });
-    // Four fifths, since the upstream counts from another moment.
-    named.map_or(IDLE_DEFAULT, |seconds: u64| {
+    // Four fifths, since the upstream starts its timer at another moment.
+    announced.map_or(DEFAULT_IDLE_TIMEOUT, |seconds: u64| {
         Duration::from_millis(seconds.saturating_mul(800))
     })
 }
--- a/crates/sapphirequayd/src/gateway/front/conversation_cache.rs
+++ b/crates/sapphirequayd/src/gateway/front/conversation_cache.rs
@@ -1,4 +1,4 @@
-//! Conversations that this front has seen, as the next turn needs them.
+//! Cache of conversations, in the form that the next turn needs as its prefix.
 
 use {
     bytes::Bytes,
@@ -7,70 +7,71 @@
     std::time::Duration,
 };
 
-/// Time without use after which a conversation is dropped: longer than the
-/// tools and pauses between two turns mostly take. The stores have it still.
-const UNUSED: Duration = Duration::from_secs(3);
+/// Time without use after which a conversation is evicted: longer than tool
+/// calls and pauses between two turns usually take. The stores still have it.
+const MAX_UNUSED: Duration = Duration::from_secs(3);
 
 #[derive(Debug)]
-struct Held {
+struct Entry {
     conversation: Bytes,
     used: Time,
 }
 
-/// Conversations up to a turn; those used longest ago are dropped first.
+/// LRU cache of conversations, keyed by their last turn.
 #[derive(Debug)]
 pub struct ConversationCache {
     max_bytes: usize,
     bytes: usize,
-    /// In the order of their last use.
-    held: IndexMap<TurnId, Held>,
+    /// Entries in the order of their last use, oldest first.
+    entries: IndexMap<TurnId, Entry>,
 }
 
 impl ConversationCache {
-    /// A cache of at most `max_bytes`.
+    /// Creates a cache of at most `max_bytes` of conversations.
     #[must_use]
     pub fn new(max_bytes: usize) -> Self {
         Self {
             max_bytes,
             bytes: 0,
-            held: IndexMap::new(),
+            entries: IndexMap::new(),
         }
     }
 
-    /// The conversation up to a turn.
+    /// Returns the conversation up to a turn and marks it as used.
     pub fn get(&mut self, now: Time, turn: TurnId) -> Option<Bytes> {
-        let held = self.held.shift_remove(&turn)?;
-        self.bytes -= held.conversation.len();
-        let conversation = held.conversation.clone();
-        self.put(now, turn, held.conversation);
+        let entry = self.entries.shift_remove(&turn)?;
+        self.bytes -= entry.conversation.len();
+        let conversation = entry.conversation.clone();
+        self.put(now, turn, entry.conversation);
         Some(conversation)
     }
 
-    /// Takes a conversation up to a turn.
+    /// Inserts the conversation up to a turn; evicts others if there is no
+    /// room.
     pub fn put(&mut self, now: Time, turn: TurnId, conversation: Bytes) {
         self.bytes += conversation.len();
-        let held = Held {
+        let entry = Entry {
             conversation,
             used: now,
         };
-        if let Some(old) = self.held.shift_remove(&turn) {
+        if let Some(old) = self.entries.shift_remove(&turn) {
             self.bytes -= old.conversation.len();
         }
-        self.held.insert(turn, held);
-        while self.bytes > self.max_bytes && self.drop_oldest() {}
+        self.entries.insert(turn, entry);
+        while self.bytes > self.max_bytes && self.evict_oldest() {}
     }
 
-    /// Drops what was not used for a while.
+    /// Evicts conversations that were not used for `MAX_UNUSED`.
     pub fn tick(&mut self, now: Time) {
-        let unused = |held: &Held| now.since(held.used) > UNUSED;
-        while self.held.first().is_some_and(|(_, held)| unused(held)) {
-            self.drop_oldest();
+        let unused = |entry: &Entry| now.since(entry.used) > MAX_UNUSED;
+        while self.entries.first().is_some_and(|(_, entry)| unused(entry)) {
+            self.evict_oldest();
         }
     }
 
-    fn drop_oldest(&mut self) -> bool {
-        let oldest = self.held.shift_remove_index(0);
-        let bytes = oldest.as_ref().map(|(_, held)| held.conversation.len());
+    fn evict_oldest(&mut self) -> bool {
+        let oldest = self.entries.shift_remove_index(0);
+        let bytes = oldest.as_ref().map(|(_, entry)| entry.conversation.len());
         self.bytes -= bytes.unwrap_or_default();
         oldest.is_some()
     }
--- a/crates/sapphirequayd/src/gateway/front/events.rs
+++ b/crates/sapphirequayd/src/gateway/front/events.rs
@@ -1,37 +1,38 @@
-//! Events of a stream, as they pass.
+//! Incremental reader of server-sent events.
 
-/// Reads a stream of events piece by piece.
+/// Reads a stream of server-sent events chunk by chunk.
 ///
-/// Only the data of events is kept, and only if that is wanted.
+/// Counts events and, if asked to, collects their data; other fields are
+/// ignored.
 #[derive(Debug, Default)]
 pub struct EventReader {
-    /// The line that has begun.
+    /// Bytes of the incomplete line.
     line: Vec<u8>,
-    /// Data of the event that has begun.
+    /// Data of the incomplete event.
     data: Vec<u8>,
-    /// Whether the event that has begun has data.
+    /// Whether the incomplete event has a data field.
     has_data: bool,
-    /// Whether the event that has begun has any line.
+    /// Whether the incomplete event has any complete line.
     begun: bool,
-    /// Whether data is kept.
-    keeps: bool,
-    /// Events that have passed whole.
+    /// Whether the data of events is collected.
+    collects_data: bool,
+    /// Number of complete events with data.
     events: u64,
-    /// Data of the events that have passed, each followed by a line feed.
-    kept: Vec<u8>,
+    /// Data of the complete events, each followed by a line feed.
+    collected: Vec<u8>,
 }
 
 impl EventReader {
-    /// A reader that keeps the data of events if `keeps`.
+    /// Creates a reader, which collects the data of events if `collects_data`.
     #[must_use]
-    pub fn new(keeps: bool) -> Self {
+    pub fn new(collects_data: bool) -> Self {
         Self {
-            keeps,
+            collects_data,
             ..Self::default()
         }
     }
 
-    /// Takes the next bytes of the stream.
+    /// Reads the next bytes of the stream.
     pub fn feed(&mut self, mut bytes: &[u8]) {
         while let Some(end) = bytes.iter().position(|byte| *byte == b'\n') {
             self.line.extend_from_slice(&bytes[..end]);
@@ -51,11 +52,11 @@
         self.begun = true;
         if let Some(data) = line.strip_prefix(b"data:") {
             let data = data.strip_prefix(b" ").unwrap_or(data);
-            if self.has_data && self.keeps {
+            if self.has_data && self.collects_data {
                 self.data.push(b'\n');
             }
             self.has_data = true;
-            if self.keeps {
+            if self.collects_data {
                 self.data.extend_from_slice(data);
             }
         }
@@ -64,30 +65,30 @@
     fn end_event(&mut self) {
         if self.has_data {
             self.events += 1;
-            if self.keeps {
-                self.kept.append(&mut self.data);
-                self.kept.push(b'\n');
+            if self.collects_data {
+                self.collected.append(&mut self.data);
+                self.collected.push(b'\n');
             }
         }
         self.has_data = false;
         self.begun = false;
     }
 
-    /// Events that have passed whole.
+    /// Number of complete events with data.
     #[must_use]
     pub const fn events(&self) -> u64 {
         self.events
     }
 
-    /// Whether an event has begun that is not whole.
+    /// Whether the stream ends within an event.
     #[must_use]
     pub const fn mid_event(&self) -> bool {
         self.begun || !self.line.is_empty()
     }
 
-    /// Data of the events that have passed, each followed by a line feed.
+    /// Data of the complete events, each followed by a line feed.
     #[must_use]
     pub fn into_data(self) -> Vec<u8> {
-        self.kept
+        self.collected
     }
 }
--- a/crates/sapphirequayd/src/gateway/front/host.rs
+++ b/crates/sapphirequayd/src/gateway/front/host.rs
@@ -1,4 +1,4 @@
-//! A front: what lives as long as the process.
+//! State and tasks of a front.
 
 use {
     super::{
@@ -35,35 +35,38 @@
     },
 };
 
-/// Longest wait for news from the control group.
-const NEWS_WITHIN: Duration = Duration::from_millis(1_600);
+/// Time-out for an update from the control group.
+const FOLLOW_TIMEOUT: Duration = Duration::from_millis(1_600);
 
-/// Pause after the control group was not reached.
-const AGAIN_AFTER: Duration = Duration::from_millis(100);
+/// Delay before the next attempt after the control group was not reached.
+const FOLLOW_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Silence of the control group after which the front does not trust what it
-/// knows: less than the 2 s in which a change must be in force.
-const IN_TOUCH: Duration = Duration::from_millis(1_500);
+/// Age of the last control update after which the front's state may be out of
+/// date: less than the 2 s within which a change must be in force.
+const MAX_CONTROL_AGE: Duration = Duration::from_millis(1_500);
 
-/// Silence of the control group after which the front takes no callers: longer
-/// than a restart of all control hosts with an election (2.0 s).
-const READY: Duration = Duration::from_millis(2_300);
+/// Age of the last control update after which the front reports itself not
+/// ready: longer than a restart of all control hosts with an election (2.0 s).
+const MAX_READY_CONTROL_AGE: Duration = Duration::from_millis(2_300);
 
-/// Time from the start in which the front waits for a table and upstreams: an
-/// election after a restart of all (0.5 s), and starts 0.3 s apart, with room.
-const STARTING: Duration = Duration::from_secs(2);
+/// Time from the start during which requests wait for a routing table and
+/// upstreams: an election after a restart of all hosts (0.5 s) and starts 0.3 s
+/// apart, with a margin.
+const STARTUP_TIME: Duration = Duration::from_secs(2);
 
-/// Interval at which old reports and idle connections are looked at.
-const TICK_EVERY: Duration = Duration::from_millis(300);
+/// Interval at which old load reports, unused conversations and idle
+/// connections are dropped and gauges are set.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Time for which new callers still come after the front has said it takes
-/// none: two questions a second apart, and the answers' way.
-const LINGER: Duration = Duration::from_millis(2_500);
+/// Time for which new connections may still arrive after the front reports
+/// itself not ready: two readiness probes 1 s apart, and the transit of the
+/// responses.
+const DRAIN_LINGER: Duration = Duration::from_millis(2_500);
 
-/// Time that is left for the process to end.
-const ENDING: Duration = Duration::from_millis(700);
+/// Part of the grace period reserved for the exit of the process.
+const EXIT_RESERVE: Duration = Duration::from_millis(700);
 
-/// A front; clones share it.
+/// Handle of a front; clones share its state.
 #[derive(Debug)]
 pub struct FrontHost<D>(Rc<Shared<D>>);
 
@@ -81,21 +84,21 @@
     stores: StoreClient,
     upstreams: RefCell<Upstreams>,
     connections: Connections,
-    chains: RefCell<ConversationCache>,
+    conversations: RefCell<ConversationCache>,
     table: RefCell<Option<Rc<RoutingTable>>>,
     limits: ServerLimits,
     startup: StartupWait,
-    /// When the control group was heard last.
-    heard: Cell<Option<Time>>,
+    /// Time of the last update from the control group.
+    last_update: Cell<Option<Time>>,
     draining: Cell<bool>,
-    /// Identity of this front to those that it asks.
+    /// Random identity of this front in requests for directory changes.
     reader: u64,
-    /// Links of this front.
+    /// Link address of this front.
     link: SocketAddr,
 }
 
 impl<D: Dialect> FrontHost<D> {
-    /// A front that knows nothing yet.
+    /// Creates a front without a routing table or upstreams.
     pub fn new(
         dialect: D,
         clock: Clock,
@@ -112,11 +115,11 @@
             stores,
             upstreams: RefCell::new(Upstreams::new(data_centre)),
             connections: Connections::default(),
-            chains: RefCell::new(ConversationCache::new(chain_cache_bytes)),
+            conversations: RefCell::new(ConversationCache::new(chain_cache_bytes)),
             table: RefCell::default(),
             limits: ServerLimits::default(),
-            startup: StartupWait::new(clock.now(), STARTING),
-            heard: Cell::default(),
+            startup: StartupWait::new(clock.now(), STARTUP_TIME),
+            last_update: Cell::default(),
             draining: Cell::default(),
             reader: rand::rng().next_u64(),
             link,
@@ -125,8 +128,8 @@
 
     /// Starts the front's tasks.
     pub fn start(&self, callers: TcpListener, ready: TcpListener) {
-        spawn_local(self.clone().keep_following());
-        spawn_local(self.clone().keep_ticking());
+        spawn_local(self.clone().follow_control());
+        spawn_local(self.clone().run_maintenance());
         spawn_local(self.0.stores.clone().probe_paths());
         let front = self.clone();
         spawn_local(async move {
@@ -147,13 +150,13 @@
         });
     }
 
-    /// Answers whether the front takes callers.
+    /// Answers a readiness probe.
     fn readiness(&self, req: &Request<Incoming>) -> Response<Body> {
         let mut response = Response::new(full(Bytes::new()));
-        let asks = self
+        let is_probe = self
             .dialect()
             .is_readiness_probe(req.method(), req.uri().path());
-        *response.status_mut() = match (asks, self.ready()) {
+        *response.status_mut() = match (is_probe, self.ready()) {
             (false, _) => StatusCode::NOT_FOUND,
             (true, true) => StatusCode::OK,
             (true, false) => StatusCode::SERVICE_UNAVAILABLE,
@@ -163,124 +166,129 @@
 
     fn ready(&self) -> bool {
         let now = self.now();
-        let heard = self.0.heard.get();
-        let heard = heard.is_some_and(|at| now.since(at) < READY);
-        heard && self.table().is_some() && !self.draining()
+        let last_update = self.0.last_update.get();
+        let recent = last_update.is_some_and(|at| now.since(at) < MAX_READY_CONTROL_AGE);
+        recent && self.table().is_some() && !self.draining()
     }
 
     // -----------------------------------------------------------------------
-    // What calls need
+    // State used by requests
 
     /// Time since the process started.
     pub fn now(&self) -> Time {
         self.0.clock.now()
     }
 
-    /// The dialect that callers speak.
+    /// Dialect of the callers' HTTP messages.
     pub fn dialect(&self) -> &D {
         &self.0.dialect
     }
 
-    /// The routing table in force, as far as the front knows.
+    /// Newest routing table that the front has received.
     pub fn table(&self) -> Option<Rc<RoutingTable>> {
         self.0.table.borrow().clone()
     }
 
-    /// The routing table; one that has just started waits for it.
-    pub async fn table_soon(&self, ends: Time) -> Option<Rc<RoutingTable>> {
+    /// Returns the routing table; waits for it during the startup phase, at
+    /// most until `ends`.
+    pub async fn wait_for_table(&self, ends: Time) -> Option<Rc<RoutingTable>> {
         let startup = &self.0.startup;
         startup.wait_for(ends, || self.now(), || self.table()).await
     }
 
-    /// Waits, if the front has just started, until it knows who serves a service.
-    pub async fn served_soon(&self, service: &str, ends: Time) {
+    /// Waits during the startup phase until an upstream serves a service, at
+    /// most until `ends`.
+    pub async fn wait_for_service(&self, service: &str, ends: Time) {
         let look = || self.upstreams().serves(service).then_some(());
         self.0.startup.wait_for(ends, || self.now(), look).await;
     }
 
-    /// Whether the control group has been heard so lately that no change can
+    /// Whether the last control update is so recent that no change in force can
     /// have been missed.
-    pub fn in_touch(&self, now: Time) -> bool {
-        let heard = self.0.heard.get();
-        heard.is_some_and(|at| now.since(at) < IN_TOUCH)
+    pub fn control_is_fresh(&self, now: Time) -> bool {
+        let last_update = self.0.last_update.get();
+        last_update.is_some_and(|at| now.since(at) < MAX_CONTROL_AGE)
     }
 
-    /// Whether the front ends soon.
+    /// Whether the front is shutting down.
     pub fn draining(&self) -> bool {
         self.0.draining.get()
     }
 
-    /// The upstreams.
+    /// Upstreams known to the front.
     pub fn upstreams(&self) -> RefMut<'_, Upstreams> {
         self.0.upstreams.borrow_mut()
     }
 
-    /// Connections to upstreams.
+    /// Connection pool to the upstreams.
     pub fn connections(&self) -> &Connections {
         &self.0.connections
     }
 
-    /// The stores.
+    /// Client of the stores.
     pub fn stores(&self) -> &StoreClient {
         &self.0.stores
     }
 
-    /// A conversation up to a turn, if this front has seen it of late.
-    pub fn chain(&self, turn: TurnId) -> Option<Bytes> {
+    /// Returns the conversation up to a turn, if cached.
+    pub fn cached_conversation(&self, turn: TurnId) -> Option<Bytes> {
         let now = self.now();
-        self.0.chains.borrow_mut().get(now, turn)
+        self.0.conversations.borrow_mut().get(now, turn)
     }
 
-    /// Takes a conversation up to a turn.
-    pub fn put_chain(&self, turn: TurnId, conversation: Bytes) {
+    /// Caches the conversation up to a turn.
+    pub fn cache_conversation(&self, turn: TurnId, conversation: Bytes) {
         let now = self.now();
-        self.0.chains.borrow_mut().put(now, turn, conversation);
+        self.0
+            .conversations
+            .borrow_mut()
+            .put(now, turn, conversation);
     }
 
     // -----------------------------------------------------------------------
     // Tasks
 
-    /// Follows the control group.
-    async fn keep_following(self) {
+    /// Requests updates from the control group and applies them, in a loop.
+    async fn follow_control(self) {
         loop {
-            let mark = self.mark();
-            let asked = self
+            let follower_state = self.follower_state();
+            let reply = self
                 .0
                 .control
-                .request(ControlRequest::Follow(mark), NEWS_WITHIN)
+                .request(ControlRequest::Follow(follower_state), FOLLOW_TIMEOUT)
                 .await;
-            match asked {
-                Some(ControlReply::Update(news)) => self.learn(*news),
-                _ => sleep(AGAIN_AFTER).await,
+            match reply {
+                Some(ControlReply::Update(update)) => self.apply_update(*update),
+                _ => sleep(FOLLOW_RETRY_DELAY).await,
             }
         }
     }
 
-    fn mark(&self) -> FollowerState {
+    fn follower_state(&self) -> FollowerState {
         FollowerState {
             revision: self.table().map_or(0, |table| table.revision),
             stores: self.0.stores.view_version(),
-            directory: self.upstreams().ask(self.0.reader),
+            directory: self.upstreams().next_request(self.0.reader),
             link: self.0.link,
         }
     }
 
-    fn learn(&self, news: ControlUpdate) {
+    fn apply_update(&self, update: ControlUpdate) {
         let now = self.now();
-        self.0.heard.set(Some(now));
-        self.0.control.set_hosts(news.controls);
-        self.0.stores.set_peer_fronts(news.followers);
-        if let Some(stores) = news.stores {
+        self.0.last_update.set(Some(now));
+        self.0.control.set_hosts(update.controls);
+        self.0.stores.set_peer_fronts(update.followers);
+        if let Some(stores) = update.stores {
             self.0.stores.set_view(stores);
         }
-        self.upstreams().learn(now, news.directory);
-        if let Some(text) = news.table {
-            self.learn_table(&text.document);
+        self.upstreams().apply_changes(now, update.directory);
+        if let Some(text) = update.table {
+            self.apply_table(&text.document);
         }
         self.0.startup.notify();
     }
 
-    fn learn_table(&self, document: &[u8]) {
+    fn apply_table(&self, document: &[u8]) {
         let table = match self.dialect().parse_table(document) {
             Ok(table) => table,
             Err(fault) => {
@@ -288,8 +296,8 @@
                 return;
             }
         };
-        let held = self.table();
-        if held.is_some_and(|held| held.revision >= table.revision) {
+        let current = self.table();
+        if current.is_some_and(|current| current.revision >= table.revision) {
             return;
         }
         log::info!(
@@ -303,33 +311,36 @@
         self.0.table.replace(Some(Rc::new(table)));
     }
 
-    /// Looks at old reports and idle connections, again and again.
-    async fn keep_ticking(self) {
+    /// Drops outdated state and sets the gauges, in a loop.
+    async fn run_maintenance(self) {
         loop {
-            sleep(TICK_EVERY).await;
+            sleep(MAINTENANCE_INTERVAL).await;
             let now = self.now();
             self.upstreams().tick(now);
-            self.0.chains.borrow_mut().tick(now);
+            self.0.conversations.borrow_mut().tick(now);
             self.0.connections.close_idle();
-            let heard = self.0.heard.get();
+            let last_update = self.0.last_update.get();
             meters::set_front(
                 self.0.limits.closing.open(),
-                heard.map(|at| now.since(at)),
+                last_update.map(|at| now.since(at)),
                 self.table().map_or(0, |table| table.revision),
                 self.0.stores.view_version(),
             );
         }
     }
 
-    /// Ends without cutting requests off.
+    /// Shuts down gracefully: reports not ready, accepts connections for
+    /// `DRAIN_LINGER`, then closes each connection between two responses.
+    ///
+    /// Connections still open near the end of `grace` are cut.
     pub async fn drain(&self, grace: Duration) {
-        let ends = Instant::now() + grace.saturating_sub(ENDING);
+        let ends = Instant::now() + grace.saturating_sub(EXIT_RESERVE);
         self.0.draining.set(true);
         log::info!(
             "event=drain_began connections={}",
             self.0.limits.closing.open()
         );
-        sleep(LINGER.min(grace / 2)).await;
+        sleep(DRAIN_LINGER.min(grace / 2)).await;
         let closing = &self.0.limits.closing;
         closing.begin();
         if timeout_at(ends, closing.all_closed()).await.is_err() {
--- a/crates/sapphirequayd/src/gateway/front/mod.rs
+++ b/crates/sapphirequayd/src/gateway/front/mod.rs
@@ -1,4 +1,4 @@
-//! The front role: takes callers' requests and passes them on to upstreams.
+//! The front role: accepts callers' requests and forwards them to upstreams.
 
 mod call;
 mod connections;
--- a/crates/sapphirequayd/src/gateway/front/refusal.rs
+++ b/crates/sapphirequayd/src/gateway/front/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers that a front gives by itself.
+//! Error responses that a front creates itself.
 
 use {
     crate::gateway::http_server::{Body, full},
@@ -7,28 +7,28 @@
     std::{fmt::Write as _, time::Duration},
 };
 
-/// Declares [`Refusal`] and its table in one place.
+/// Declares [`Refusal`] and its names, statuses and retry delays in one table.
 macro_rules! refusals {
     ($( $(#[$doc:meta])* $kind:ident => $name:literal, $status:literal, $retry_ms:expr; )*) => {
-        /// Every answer that a front gives by itself.
+        /// Reason why a front answers a request itself.
         ///
-        /// 402, 404, 408, 429 and 503 promise that the request has not run and
-        /// never will; 502 and 504 promise nothing.
+        /// Statuses 402, 404, 408, 429 and 503 guarantee that the request has
+        /// not run and never will; 502 and 504 guarantee nothing.
         #[derive(Debug, Clone, Copy, PartialEq, Eq)]
         pub enum Refusal { $( $(#[$doc])* $kind, )* }
 
         impl Refusal {
-            /// Name in logs and in the answer.
+            /// Name in logs, in metrics and in the response body.
             pub const fn name(self) -> &'static str {
                 match self { $( Self::$kind => $name, )* }
             }
 
-            /// Status of the answer.
+            /// HTTP status of the response.
             pub const fn status(self) -> u16 {
                 match self { $( Self::$kind => $status, )* }
             }
 
-            /// Milliseconds after which a caller may come back, if that helps.
+            /// Base retry delay in milliseconds, if a retry can help.
             const fn retry_ms(self) -> Option<u64> {
                 match self { $( Self::$kind => $retry_ms, )* }
             }
@@ -37,43 +37,45 @@
 }
 
 refusals! {
-    /// The head can't be used.
+    /// The head of the request is invalid.
     BadHead => "bad_head", 400, None;
     /// The program's budget does not cover the turn.
     BudgetSpent => "budget_spent", 402, None;
-    /// No route leads there.
+    /// No route matches the host and path.
     NoRoute => "no_route", 404, None;
-    /// The turn that is continued does not exist.
+    /// The turn that the request continues does not exist.
     NoTurn => "no_turn", 404, None;
-    /// The body did not arrive.
+    /// The body did not arrive completely in time.
     BodyMissing => "body_missing", 408, Some(100);
     /// The body is larger than the limit.
     BodyTooLarge => "body_too_large", 413, None;
-    /// An upstream got the request and gave no usable answer.
+    /// An upstream may have received the request and gave no usable response.
     OutcomeUnknown => "outcome_unknown", 502, None;
     /// There is no routing table yet, or it may be out of date.
     NoTable => "no_table", 503, Some(300);
-    /// The stores give no certain answer.
+    /// The stores gave no conclusive answer in time.
     StoresUnsure => "stores_unsure", 503, Some(250);
-    /// No upstream serves the route's service now.
+    /// No upstream currently serves the route's service.
     NoUpstream => "no_upstream", 503, Some(250);
-    /// Every upstream that was asked is full.
+    /// Upstreams were tried, and each of them did not run the request.
     UpstreamsFull => "upstreams_full", 503, Some(120);
-    /// The time is over before an upstream got the request.
+    /// The deadline passed before an upstream received the request.
     TooLate => "too_late", 503, Some(100);
-    /// The time is over while an upstream had the request.
+    /// The deadline passed after an upstream may have received the request.
     TimedOut => "timed_out", 504, None;
 }
 
-/// Share of the wait by which callers' returns are spread, from it upwards.
-const SPREAD_PERCENT: u64 = 100;
+/// Jitter added to the retry delay, at most this percentage of it.
+const JITTER_PERCENT: u64 = 100;
 
 impl Refusal {
-    /// The answer. `draw` spreads the returns of callers that are refused together.
-    pub fn answer(self, draw: u64) -> Response<Body> {
+    /// Creates the response. The jitter comes from `draw`, a hash of the
+    /// request id, so that callers refused at the same time do not retry at the
+    /// same time.
+    pub fn response(self, draw: u64) -> Response<Body> {
         let mut text = String::from("{\"error\":{\"kind\":\"");
         text.push_str(self.name());
-        let _ = write!(text, "\",\"not_run\":{}}}}}", self.promises_not_run());
+        let _ = write!(text, "\",\"not_run\":{}}}}}", self.guarantees_not_run());
         let mut response = Response::new(full(Bytes::from(text)));
         *response.status_mut() =
             StatusCode::from_u16(self.status()).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
@@ -91,15 +93,16 @@
         response
     }
 
-    /// When the caller may come back.
+    /// Delay after which the caller may retry, with jitter.
     pub fn retry_after(self, draw: u64) -> Option<Duration> {
         let base = self.retry_ms()?;
-        let spread = base * (draw % (SPREAD_PERCENT + 1)) / 100;
-        Some(Duration::from_millis(base + spread))
+        let jitter = base * (draw % (JITTER_PERCENT + 1)) / 100;
+        Some(Duration::from_millis(base + jitter))
     }
 
-    /// Whether the answer promises that the request has not run and never will.
-    pub const fn promises_not_run(self) -> bool {
+    /// Whether the response guarantees that the request has not run and never
+    /// will.
+    pub const fn guarantees_not_run(self) -> bool {
         !matches!(self.status(), 502 | 504)
     }
 }
--- a/crates/sapphirequayd/src/gateway/front/reservation.rs
+++ b/crates/sapphirequayd/src/gateway/front/reservation.rs
@@ -1,4 +1,4 @@
-//! A reservation of a program's budget, which is settled whatever happens.
+//! Reservation of a program's budget, settled when dropped.
 
 use {
     crate::gateway::store::StoreClient,
@@ -8,21 +8,23 @@
     tokio::task::spawn_local,
 };
 
-/// How long a settlement is tried; what is not settled stays charged in full.
-const SETTLE_WITHIN: Duration = Duration::from_secs(5);
+/// Time-out for writing a settlement; an unsettled reservation stays charged in
+/// full.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A reservation; what was used when it is dropped is what the attempt costs.
+/// Reservation of one attempt. Dropping it settles the attempt for the tokens
+/// used by then, so that no way out of a request leaves it unsettled.
 #[derive(Debug)]
 pub struct Reservation {
     stores: StoreClient,
     program: ProgramTag,
     attempt: AttemptTag,
-    /// Tokens handed to the caller.
+    /// Number of tokens sent to the caller.
     used: Cell<u64>,
 }
 
 impl Reservation {
-    /// A reservation that has used nothing yet.
+    /// Creates a reservation with no tokens used.
     pub const fn new(stores: StoreClient, program: ProgramTag, attempt: AttemptTag) -> Self {
         Self {
             stores,
@@ -32,8 +34,8 @@
         }
     }
 
-    /// Tokens have been handed to the caller, in all.
-    pub fn used(&self, tokens: u64) {
+    /// Sets the total number of tokens sent to the caller.
+    pub fn set_used(&self, tokens: u64) {
         self.used.set(tokens);
     }
 }
@@ -48,7 +50,7 @@
         let (stores, program) = (self.stores.clone(), self.program);
         spawn_local(async move {
             let record = Record::Charge(program, charge);
-            if !stores.write(record, SETTLE_WITHIN).await {
+            if !stores.write(record, SETTLE_TIMEOUT).await {
                 log::warn!("event=charge_not_settled program={program} charge={charge:?}");
             }
         });
--- a/crates/sapphirequayd/src/gateway/front/startup_wait.rs
+++ b/crates/sapphirequayd/src/gateway/front/startup_wait.rs
@@ -1,9 +1,9 @@
-//! What a front that has just started does not know yet.
+//! Waiting for the routing table and upstreams while a front starts.
 //!
-//! After a loss of power the fronts are back before the control group has a
-//! leader. Requests of those moments wait for what is about to come: refused,
-//! they would come back too early and be given up. The load that this answers
-//! is a restart of everything; a front that has run for a while refuses at once.
+//! After a power loss the fronts are up before the control group has a leader.
+//! Requests that arrive then wait for the missing state: refused requests would
+//! be retried too early and abandoned. The wait is meant for a restart of the
+//! whole system; a front that has run for a while refuses at once.
 
 use {
     quay_types::Time,
@@ -11,31 +11,32 @@
     tokio::{sync::Notify, time::timeout},
 };
 
-/// The first moments of a front.
+/// Startup phase of a front, during which requests wait for missing state.
 #[derive(Debug)]
 pub struct StartupWait {
-    /// When they are over.
+    /// End of the startup phase.
     ends: Time,
-    learned: Notify,
+    changed: Notify,
 }
 
 impl StartupWait {
-    /// A front that starts at `now` and may take `span` until it knows all.
+    /// Creates a startup phase that begins at `now` and lasts for `span`.
     #[must_use]
     pub fn new(now: Time, span: Duration) -> Self {
         Self {
             ends: now + span,
-            learned: Notify::new(),
+            changed: Notify::new(),
         }
     }
 
-    /// Something was learned: whoever waits looks again.
+    /// Wakes all waiting requests, which check their condition again.
     pub fn notify(&self) {
-        self.learned.notify_waiters();
+        self.changed.notify_waiters();
     }
 
-    /// Looks for something, again whenever there is news, until the first
-    /// moments are over or `ends` has come.
+    /// Calls `look` until it returns a value, again after each
+    /// [`notify`](Self::notify), until the startup phase is over or `ends` has
+    /// passed.
     pub async fn wait_for<T>(
         &self,
         ends: Time,
@@ -43,14 +44,14 @@
         look: impl Fn() -> Option<T>,
     ) -> Option<T> {
         loop {
-            let rung = self.learned.notified();
-            tokio::pin!(rung);
-            rung.as_mut().enable();
+            let changed = self.changed.notified();
+            tokio::pin!(changed);
+            changed.as_mut().enable();
             if let Some(found) = look() {
                 return Some(found);
             }
             let left = self.ends.min(ends).since(now());
-            if left.is_zero() || timeout(left, rung).await.is_err() {
+            if left.is_zero() || timeout(left, changed).await.is_err() {
                 return look();
             }
         }
--- a/crates/sapphirequayd/src/gateway/front/stream.rs
+++ b/crates/sapphirequayd/src/gateway/front/stream.rs
@@ -1,15 +1,15 @@
-//! Passes a stream of events on as it comes.
+//! Relays event streams from upstreams to callers.
 
 use {
     super::{
-        call::Sent,
+        call::InFlight,
         events::EventReader,
         host::FrontHost,
         reservation::Reservation,
         upstream_outcome::{StreamEnd, UPSTREAM_DISCONNECTED, UpstreamOutcome, upstream_outcome},
     },
     crate::gateway::{
-        http_server::{Body, BrokenOff},
+        http_server::{Body, BodyAborted},
         meters::{self, Stage},
     },
     bytes::Bytes,
@@ -30,124 +30,126 @@
     },
 };
 
-/// Frames that wait for a caller who reads slowly.
-const WINDOW_FRAMES: usize = 16;
+/// Number of frames buffered for a caller that reads slowly.
+const MAX_BUFFERED_FRAMES: usize = 16;
 
-/// Frames for a caller.
-type Frames = mpsc::Sender<Result<Frame<Bytes>, BrokenOff>>;
+/// Sender of the frames of a response body.
+type FrameSender = mpsc::Sender<Result<Frame<Bytes>, BodyAborted>>;
 
-/// Body that is filled while the upstream works.
+/// Response body that receives frames while the upstream sends them.
 #[derive(Debug)]
-struct Passed(mpsc::Receiver<Result<Frame<Bytes>, BrokenOff>>);
+struct RelayedBody(mpsc::Receiver<Result<Frame<Bytes>, BodyAborted>>);
 
-impl HttpBody for Passed {
+impl HttpBody for RelayedBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = BodyAborted;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyAborted>>> {
         self.0.poll_recv(cx)
     }
 }
 
-/// A turn that is kept once it is whole.
+/// Turn that is stored once its stream is complete.
 #[derive(Debug)]
-pub struct Keeping {
-    /// The turn.
+pub struct PendingTurn {
+    /// Identifier of the turn.
     pub id: TurnId,
-    /// The turn that it continues from.
+    /// Turn that this turn continues.
     pub prior: Option<TurnId>,
-    /// How long it is kept.
-    pub keep: Duration,
-    /// What was said before.
-    pub before: Bytes,
-    /// Its new input.
+    /// Time for which the turn is stored.
+    pub retention: Duration,
+    /// Conversation before the turn.
+    pub history: Bytes,
+    /// Input that the turn adds.
     pub input: Bytes,
 }
 
-/// A stream that is passed on.
-pub struct Passing<D: Dialect> {
-    /// The front.
+/// Stream of a request that is relayed to the caller.
+pub struct StreamRelay<D: Dialect> {
+    /// Front that serves the request.
     pub front: FrontHost<D>,
-    /// The request at its upstream.
-    pub sent: Sent<D>,
-    /// Number that the caller gave the request.
+    /// Request in flight at its upstream.
+    pub in_flight: InFlight<D>,
+    /// Request id from the caller.
     pub id: Box<str>,
-    /// What is kept of it, if anything.
-    pub keeping: Option<Keeping>,
-    /// What it costs the program.
+    /// Turn to store, if any.
+    pub pending_turn: Option<PendingTurn>,
+    /// Reservation of the program's budget, if any.
     pub reservation: Option<Reservation>,
-    /// Tokens that an event stands for.
+    /// Number of tokens that an event counts as.
     pub event_tokens: u64,
-    /// When the request is given up.
+    /// Time at which the stream is aborted.
     pub ends: Time,
     /// Milliseconds from the request's arrival until it was sent.
     pub wait_ms: u128,
-    /// Milliseconds from then until the upstream's first answer.
+    /// Milliseconds from then until the head of the upstream's response.
     pub first_ms: u128,
 }
 
-impl<D: Dialect> Passing<D> {
-    /// Starts to pass the stream on; the answer's body is filled from now on.
+impl<D: Dialect> StreamRelay<D> {
+    /// Starts the relay task and returns the response body that it fills.
     pub fn start(self, head: &response::Parts, body: Incoming) -> Body {
-        let (tx, rx) = mpsc::channel(WINDOW_FRAMES);
+        let (tx, rx) = mpsc::channel(MAX_BUFFERED_FRAMES);
         let headers = head.headers.clone();
-        tokio::task::spawn_local(async move { self.pass(headers, body, tx).await });
-        Passed(rx).boxed_unsync()
+        tokio::task::spawn_local(async move { self.relay(headers, body, tx).await });
+        RelayedBody(rx).boxed_unsync()
     }
 
-    async fn pass(mut self, headers: http::HeaderMap, mut body: Incoming, frames: Frames) {
-        let mut reader = EventReader::new(self.keeping.is_some());
-        let end = self.pass_frames(&mut body, &mut reader, &frames).await;
+    /// Relays the stream, stores its turn and logs its end.
+    async fn relay(mut self, headers: http::HeaderMap, mut body: Incoming, frames: FrameSender) {
+        let mut reader = EventReader::new(self.pending_turn.is_some());
+        let end = self.relay_frames(&mut body, &mut reader, &frames).await;
         let events = reader.events();
-        let read = self.sent.elapsed();
+        let read = self.in_flight.elapsed();
         let read_ms = read.as_millis();
         self.rate_upstream(end, &reader);
         let end = match end {
             StreamEnd::Whole if reader.mid_event() => StreamEnd::Broken("upstream_ended_mid_event"),
-            StreamEnd::Whole => self.keep(reader).await,
+            StreamEnd::Whole => self.store_turn(reader).await,
             end => end,
         };
         match end {
-            StreamEnd::Whole => self.sent.whole(&headers),
+            StreamEnd::Whole => self.in_flight.return_connection(&headers),
             StreamEnd::CallerGone => {}
-            StreamEnd::Broken(why) => drop(frames.send(Err(BrokenOff(why))).await),
+            StreamEnd::Broken(why) => drop(frames.send(Err(BodyAborted(why))).await),
         }
-        let kept = self.sent.elapsed().saturating_sub(read);
-        let keep_ms = kept.as_millis();
+        let storing = self.in_flight.elapsed().saturating_sub(read);
+        let keep_ms = storing.as_millis();
         meters::record_stage(Stage::Stream, read);
-        meters::record_stage(Stage::Keep, kept);
+        meters::record_stage(Stage::Persist, storing);
         log::info!(
             "event=stream_ended id={} upstream={} events={events} wait_ms={} first_ms={} read_ms={read_ms} keep_ms={keep_ms} end={end:?}",
             self.id,
-            self.sent.upstream_name(),
+            self.in_flight.upstream_name(),
             self.wait_ms,
             self.first_ms,
         );
     }
 
-    /// Notes how the upstream did its work.
+    /// Records how the upstream performed.
     fn rate_upstream(&self, end: StreamEnd, reader: &EventReader) {
         let events = reader.events();
         match upstream_outcome(end, events, reader.mid_event()) {
             UpstreamOutcome::Succeeded => {
                 let events = u32::try_from(events).unwrap_or(u32::MAX);
-                self.sent.served(self.sent.elapsed() / events);
+                self.in_flight
+                    .record_success(self.in_flight.elapsed() / events);
             }
-            UpstreamOutcome::SucceededUntimed => self.sent.done(),
-            UpstreamOutcome::Failed => self.sent.failed(),
-            UpstreamOutcome::Abandoned => self.sent.given_up(),
+            UpstreamOutcome::SucceededUntimed => self.in_flight.record_untimed_success(),
+            UpstreamOutcome::Failed => self.in_flight.record_failure(),
+            UpstreamOutcome::Abandoned => self.in_flight.record_abandoned(),
         }
     }
 
-    /// Passes frames on until one side ends.
-    async fn pass_frames(
+    /// Relays frames until either side ends or the deadline passes.
+    async fn relay_frames(
         &self,
         body: &mut Incoming,
         reader: &mut EventReader,
-        frames: &Frames,
+        frames: &FrameSender,
     ) -> StreamEnd {
         let left = self.ends.since(self.front.now());
         let ends = sleep(left);
@@ -169,12 +171,12 @@
                     Err(_) => continue,
                 },
             };
-            self.sent.heard();
+            self.in_flight.record_activity();
             reader.feed(&data);
             if let Some(reservation) = &self.reservation {
-                // What has begun to pass counts as handed out.
+                // An incomplete event counts as sent.
                 let events = reader.events() + u64::from(reader.mid_event());
-                reservation.used(events * self.event_tokens);
+                reservation.set_used(events * self.event_tokens);
             }
             tokio::select! {
                 sent = frames.send(Ok(Frame::data(data))) => {
@@ -187,17 +189,17 @@
         }
     }
 
-    /// Makes the turn durable before the caller sees its end.
-    async fn keep(&mut self, reader: EventReader) -> StreamEnd {
-        let Some(keeping) = self.keeping.take() else {
+    /// Stores the turn durably before the caller sees the end of the stream.
+    async fn store_turn(&mut self, reader: EventReader) -> StreamEnd {
+        let Some(pending_turn) = self.pending_turn.take() else {
             return StreamEnd::Whole;
         };
         let output = reader.into_data();
         let record = TurnRecord {
-            id: keeping.id,
-            prior: keeping.prior,
-            retention_s: u32::try_from(keeping.keep.as_secs()).unwrap_or(u32::MAX),
-            input: keeping.input[..].into(),
+            id: pending_turn.id,
+            prior: pending_turn.prior,
+            retention_s: u32::try_from(pending_turn.retention.as_secs()).unwrap_or(u32::MAX),
+            input: pending_turn.input[..].into(),
             output: output.clone().into(),
         };
         let left = self.ends.since(self.front.now());
@@ -205,12 +207,14 @@
         if timeout(left, writing).await != Ok(true) {
             return StreamEnd::Broken("turn_not_kept");
         }
-        let mut whole =
-            Vec::with_capacity(keeping.before.len() + keeping.input.len() + output.len());
-        whole.extend_from_slice(&keeping.before);
-        whole.extend_from_slice(&keeping.input);
-        whole.extend_from_slice(&output);
-        self.front.put_chain(keeping.id, Bytes::from(whole));
+        let mut conversation = Vec::with_capacity(
+            pending_turn.history.len() + pending_turn.input.len() + output.len(),
+        );
+        conversation.extend_from_slice(&pending_turn.history);
+        conversation.extend_from_slice(&pending_turn.input);
+        conversation.extend_from_slice(&output);
+        self.front
+            .cache_conversation(pending_turn.id, Bytes::from(conversation));
         StreamEnd::Whole
     }
 }
--- a/crates/sapphirequayd/src/gateway/front/upstream_outcome.rs
+++ b/crates/sapphirequayd/src/gateway/front/upstream_outcome.rs
@@ -1,43 +1,45 @@
-//! What the end of a stream says of its upstream.
+//! Rating of an upstream by the end of a stream.
 
-/// Events from which on the time of one says how fast an upstream is: before
-/// the first one the prompt is read, which takes as long as some events.
-const LEAST_EVENTS: u64 = 4;
+/// Minimum number of events for measuring an upstream's time per event: before
+/// the first event the prompt is prefilled, which takes as long as some events.
+const MIN_TIMED_EVENTS: u64 = 4;
 
-/// Why a stream is cut that the upstream did not end whole.
+/// Reason of [`StreamEnd::Broken`] if the upstream's connection failed.
 pub const UPSTREAM_DISCONNECTED: &str = "upstream_broke_off";
 
 /// How a stream ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StreamEnd {
-    /// The upstream has ended it.
+    /// The upstream ended the body.
     Whole,
-    /// The caller has left.
+    /// The caller closed the connection.
     CallerGone,
-    /// It was cut, and why.
+    /// The stream was aborted for the given reason.
     Broken(&'static str),
 }
 
-/// What is noted of the upstream.
+/// How an upstream performed on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UpstreamOutcome {
-    /// It did its work, and the time of an event says how fast.
+    /// Completed, with enough events to measure the time per event.
     Succeeded,
-    /// It did its work, too little to say how fast.
+    /// Completed, with too few events to measure the time per event.
     SucceededUntimed,
-    /// It lost or spoilt the request.
+    /// The upstream failed the request.
     Failed,
-    /// Others ended the request; the upstream may have been silent before.
+    /// The caller or the front ended the request; the upstream may have been
+    /// silent before.
     Abandoned,
 }
 
-/// What a stream that has ended after so many whole events says, and whether
-/// within one. What is done with the turn afterwards says nothing.
+/// Rates the upstream of a stream that ended after `events` complete events;
+/// `mid_event` tells whether it ended within another one. Storing the turn
+/// afterwards does not influence the rating.
 #[must_use]
 pub fn upstream_outcome(end: StreamEnd, events: u64, mid_event: bool) -> UpstreamOutcome {
     match end {
         StreamEnd::Whole if mid_event => UpstreamOutcome::Failed,
-        StreamEnd::Whole if events < LEAST_EVENTS => UpstreamOutcome::SucceededUntimed,
+        StreamEnd::Whole if events < MIN_TIMED_EVENTS => UpstreamOutcome::SucceededUntimed,
         StreamEnd::Whole => UpstreamOutcome::Succeeded,
         StreamEnd::Broken(UPSTREAM_DISCONNECTED) => UpstreamOutcome::Failed,
         StreamEnd::Broken(_) | StreamEnd::CallerGone => UpstreamOutcome::Abandoned,
--- a/crates/sapphirequayd/src/gateway/front/upstreams.rs
+++ b/crates/sapphirequayd/src/gateway/front/upstreams.rs
@@ -1,4 +1,4 @@
-//! Which upstream a request goes to.
+//! Selection of the upstream for a request.
 
 use {
     indexmap::IndexMap,
@@ -12,35 +12,37 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// Time for which an upstream that could not be reached is passed over.
-const SUSPENDED: Duration = Duration::from_millis(500);
+/// Time for which an unreachable upstream is not selected.
+const SUSPENSION: Duration = Duration::from_millis(500);
 
-/// Age from which on a report of load says nothing about the requests of others.
-const REPORT_COUNTS: Duration = Duration::from_secs(1);
+/// Age after which a load report is discarded and only this front's own
+/// requests are counted.
+const MAX_REPORT_AGE: Duration = Duration::from_secs(1);
 
-/// An upstream chosen for a request.
+/// Upstream selected for a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Chosen {
-    /// The upstream.
+pub struct SelectedUpstream {
+    /// Identifier of the upstream.
     pub id: UpstreamId,
-    /// Its name, as it announces itself.
+    /// Name from its announcement.
     pub name: Box<str>,
-    /// Its address.
+    /// Address of the upstream.
     pub addr: SocketAddr,
 }
 
+/// Upstream listed in the directory.
 #[derive(Debug)]
 struct Known {
     announcement: Announcement,
-    /// Requests of this front that it has.
+    /// Number of this front's requests in flight at the upstream.
     in_flight: u32,
-    /// When it last told its load.
+    /// Time of the last load report, if it still counts.
     reported: Option<Time>,
-    /// Until when it is passed over.
-    suspended: Time,
+    /// Time until which the upstream is not selected.
+    suspended_until: Time,
 }
 
-/// The upstreams that this front knows.
+/// Upstreams known to this front, with the router that selects among them.
 #[derive(Debug)]
 pub struct Upstreams {
     router: Router<ExpectedTime>,
@@ -49,20 +51,20 @@
 }
 
 impl Upstreams {
-    /// Nothing is known yet. `data_centre` is the front's own.
+    /// Creates an empty set. `data_centre` is the front's own.
     pub fn new(data_centre: &str) -> Self {
         let cfg = RouteSettings {
             // Speeds of the engines in the deployments' tables: 368 tokens are
-            // prefilled in a ms, a step takes 0.76 ms and 0.03 ms more for each
-            // running request, an answer has about 260 tokens.
+            // prefilled per ms, a step takes 0.76 ms plus 0.03 ms per running
+            // request, a response has about 260 tokens.
             prefill_us: 3,
-            // A prefill holds up each running request for as long as it takes.
+            // A prefill delays each running request by the prefill's duration.
             prefix_per_running: 1_000,
             per_running_us: 30,
             answer_tokens: 260,
             token_gap_us: 760,
             spread: Duration::from_millis(1),
-            // The directory has leases of its own.
+            // Expiry is left to the directory, which has its own leases.
             silent_after: Duration::from_hours(1),
             stale_after: Duration::from_hours(1),
             stale_cost: Duration::ZERO,
@@ -76,23 +78,23 @@
     }
 
     // -----------------------------------------------------------------------
-    // What is learned
+    // Updates
 
-    /// The question about changes of the directory.
-    pub fn ask(&mut self, reader: u64) -> ChangesRequest {
+    /// Creates the next request for directory changes.
+    pub fn next_request(&mut self, reader: u64) -> ChangesRequest {
         self.view.next_request(reader)
     }
 
-    /// Takes changes of the directory.
-    pub fn learn(&mut self, now: Time, changes: quay_members::Changes) {
+    /// Applies directory changes.
+    pub fn apply_changes(&mut self, now: Time, changes: quay_members::Changes) {
         if !self.view.apply(now, changes) {
-            // The next question asks for everything.
+            // An empty view makes the next request ask for the whole directory.
             self.view = DirectoryView::default();
             return;
         }
         let entries = self.view.entries(now);
         for entry in &entries {
-            self.learn_entry(now, entry);
+            self.apply_entry(now, entry);
         }
         let listed: Vec<UpstreamId> = entries
             .iter()
@@ -102,7 +104,7 @@
         self.router.retain_only(&listed);
     }
 
-    fn learn_entry(&mut self, now: Time, entry: &DirectoryEntry) {
+    fn apply_entry(&mut self, now: Time, entry: &DirectoryEntry) {
         let id = entry.announcement.upstream();
         let announcement = Announcement {
             sequence: 0,
@@ -113,7 +115,7 @@
             Some(known) if known.announcement == announcement => {}
             Some(known) if known.announcement.incarnation == announcement.incarnation => {
                 known.announcement = announcement;
-                self.tell_router(now, id, None);
+                self.update_router(now, id, None);
             }
             _ => {
                 log::info!(
@@ -127,16 +129,17 @@
                     announcement,
                     in_flight: 0,
                     reported: None,
-                    suspended: Time::ZERO,
+                    suspended_until: Time::ZERO,
                 };
                 self.known.insert(id, known);
-                self.tell_router(now, id, None);
+                self.update_router(now, id, None);
             }
         }
     }
 
-    /// Tells the router of an upstream, with its load if it was reported.
-    fn tell_router(&mut self, now: Time, id: UpstreamId, reported: Option<Load>) {
+    /// Passes an upstream to the router, with its reported load or else the
+    /// number of own requests.
+    fn update_router(&mut self, now: Time, id: UpstreamId, reported: Option<Load>) {
         let Some(known) = self.known.get_mut(&id) else {
             return;
         };
@@ -152,28 +155,34 @@
         self.router.apply_announcement(now, &announcement);
     }
 
-    /// Takes an upstream's report of its load: running, waiting, slots.
-    pub fn reported(&mut self, now: Time, id: UpstreamId, (running, waiting, _): (u32, u32, u32)) {
+    /// Applies an upstream's load report: running requests, waiting requests,
+    /// slots.
+    pub fn apply_load_report(
+        &mut self,
+        now: Time,
+        id: UpstreamId,
+        (running, waiting, _): (u32, u32, u32),
+    ) {
         let load = Load {
             running,
             queued: waiting,
             ..Load::default()
         };
-        self.tell_router(now, id, Some(load));
+        self.update_router(now, id, Some(load));
     }
 
-    /// A request has ended well at an upstream; `took` is the time of its unit
-    /// of work, an event of a stream or a whole answer.
-    pub fn served(&mut self, now: Time, id: UpstreamId, took: Duration) {
-        self.router.record_success(now, id, took);
+    /// Records a successful request; `duration` is the time per unit of work:
+    /// one event of a stream, or a complete response.
+    pub fn record_success(&mut self, now: Time, id: UpstreamId, duration: Duration) {
+        self.router.record_success(now, id, duration);
     }
 
-    /// An upstream lost or spoilt a request.
-    pub fn failed(&mut self, now: Time, id: UpstreamId) {
+    /// Records a request that the upstream failed.
+    pub fn record_failure(&mut self, now: Time, id: UpstreamId) {
         self.router.record_failure(now, id);
     }
 
-    /// Counts only own requests where the last report is old.
+    /// Discards load reports older than `MAX_REPORT_AGE`.
     pub fn tick(&mut self, now: Time) {
         let old: Vec<UpstreamId> = self
             .known
@@ -181,26 +190,26 @@
             .filter(|(_, known)| {
                 known
                     .reported
-                    .is_some_and(|at| now.since(at) > REPORT_COUNTS)
+                    .is_some_and(|at| now.since(at) > MAX_REPORT_AGE)
             })
             .map(|(id, _)| *id)
             .collect();
         for id in old {
-            self.tell_router(now, id, None);
+            self.update_router(now, id, None);
         }
     }
 
-    /// An upstream could not be reached; it is passed over for a while.
-    pub fn unreachable(&mut self, now: Time, id: UpstreamId) {
+    /// Suspends an upstream that could not be reached.
+    pub fn suspend(&mut self, now: Time, id: UpstreamId) {
         if let Some(known) = self.known.get_mut(&id) {
-            known.suspended = now + SUSPENDED;
+            known.suspended_until = now + SUSPENSION;
         }
     }
 
     // -----------------------------------------------------------------------
-    // What is decided
+    // Selection
 
-    /// Whether any upstream that takes requests serves a service.
+    /// Whether any upstream in state `Serving` serves a service.
     pub fn serves(&self, service: &str) -> bool {
         let wanted = ServiceId::of(service);
         self.known.values().any(|known| {
@@ -210,47 +219,51 @@
         })
     }
 
-    /// Chooses an upstream of a service and counts the request as sent to it.
-    pub fn choose(
+    /// Selects an upstream of a service and counts the request as in flight
+    /// there.
+    ///
+    /// Upstreams in `tried` are excluded. `draw` spreads requests over equally
+    /// good upstreams.
+    pub fn select(
         &mut self,
         now: Time,
         service: &str,
         head: &CallHead,
         tried: &[UpstreamId],
         draw: u64,
-    ) -> Option<Chosen> {
-        let suspended = self.known.iter().filter(|(_, it)| it.suspended > now);
-        let mut passed_over: Vec<UpstreamId> = suspended.map(|(id, _)| *id).collect();
-        passed_over.extend_from_slice(tried);
+    ) -> Option<SelectedUpstream> {
+        let suspended = self.known.iter().filter(|(_, it)| it.suspended_until > now);
+        let mut excluded: Vec<UpstreamId> = suspended.map(|(id, _)| *id).collect();
+        excluded.extend_from_slice(tried);
         let blocks = block_hashes(&head.prompt);
         let program = head.program.as_deref().unwrap_or(&head.id);
-        let lines = branch_ids(&head.prompt);
-        let goes_on = head.turn.as_ref().is_some_and(|turn| turn.prior.is_some());
+        let branches = branch_ids(&head.prompt);
+        let continues = head.turn.as_ref().is_some_and(|turn| turn.prior.is_some());
         let mut req = RouteRequest {
             target: CallTarget::Service(ServiceId::of(service)),
             program: ProgramId::root(UpstreamId::of(program).0),
-            has_history: goes_on || lines.len() > 1,
-            conversations: &lines,
+            has_history: continues || branches.len() > 1,
+            conversations: &branches,
             prompt: Tokens(token_count(&head.prompt)),
             blocks: &blocks,
-            tried: &passed_over,
+            tried: &excluded,
         };
         let choice = self.router.pick(now, &req, draw).or_else(|| {
-            // Those that could not be reached are better than none.
+            // Suspended upstreams are used if there is no other.
             req.tried = tried;
             self.router.pick(now, &req, draw)
         })?;
         let known = self.known.get_mut(&choice.upstream)?;
         known.in_flight += 1;
-        Some(Chosen {
+        Some(SelectedUpstream {
             id: choice.upstream,
             name: known.announcement.name.clone(),
             addr: choice.addr,
         })
     }
 
-    /// A request that was sent to an upstream has ended.
-    pub fn ended(&mut self, now: Time, id: UpstreamId) {
+    /// Removes a request that has ended from the count of an upstream.
+    pub fn record_end(&mut self, now: Time, id: UpstreamId) {
         if let Some(known) = self.known.get_mut(&id) {
             known.in_flight = known.in_flight.saturating_sub(1);
             self.router.record_end(now, id);
--- a/crates/sapphirequayd/src/gateway/http_server.rs
+++ b/crates/sapphirequayd/src/gateway/http_server.rs
@@ -1,4 +1,4 @@
-//! Accepts HTTP connections and answers what comes over them.
+//! HTTP/1 server: accepts connections and serves their requests.
 
 use {
     bytes::Bytes,
@@ -10,37 +10,39 @@
     tokio::{net::TcpListener, sync::Notify, task::spawn_local},
 };
 
-/// Why the body of an answer ends before it is whole.
+/// Reason why a response body was aborted before its end.
 #[derive(Debug)]
-pub struct BrokenOff(pub &'static str);
+pub struct BodyAborted(pub &'static str);
 
-impl fmt::Display for BrokenOff {
+impl fmt::Display for BodyAborted {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "the answer broke off: {}", self.0)
+        write!(f, "response body aborted: {}", self.0)
     }
 }
 
-impl std::error::Error for BrokenOff {}
+impl std::error::Error for BodyAborted {}
 
-/// Body of an answer.
-pub type Body = UnsyncBoxBody<Bytes, BrokenOff>;
+/// Response body.
+pub type Body = UnsyncBoxBody<Bytes, BodyAborted>;
 
-/// A body that is known in full.
+/// Creates a body from bytes that are complete.
 pub fn full(bytes: Bytes) -> Body {
     Full::new(bytes)
         .map_err(|never: Infallible| match never {})
         .boxed_unsync()
 }
 
-/// Bounds on what callers may send; they may change while the server runs.
+/// Limits of a server; they may change while it runs and apply to connections
+/// accepted afterwards.
 #[derive(Debug, Clone)]
 pub struct ServerLimits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head in bytes.
     pub head_bytes: Rc<Cell<usize>>,
-    /// Time that a connection may be idle, and a head may take.
+    /// Time-out for reading a request's head, which includes the idle time
+    /// before it.
     pub idle: Rc<Cell<Duration>>,
-    /// Ends connections between two answers.
-    pub closing: Rc<Closing>,
+    /// Closes connections gracefully, between two responses.
+    pub closing: Rc<ConnectionDrain>,
 }
 
 impl Default for ServerLimits {
@@ -53,49 +55,51 @@
     }
 }
 
-/// Ends connections between two answers.
+/// Graceful shutdown of a server's connections, and the count of open ones.
 #[derive(Debug, Default)]
-pub struct Closing {
+pub struct ConnectionDrain {
     begun: Cell<bool>,
-    rung: Notify,
-    /// Connections that are open.
+    /// Notified when the shutdown begins.
+    begin_notify: Notify,
+    /// Number of open connections.
     open: Cell<usize>,
-    idle: Notify,
+    /// Notified when a connection is closed.
+    closed_notify: Notify,
 }
 
-impl Closing {
-    /// Every connection ends after the answer that it waits for.
+impl ConnectionDrain {
+    /// Closes every connection once its request in progress is answered.
     pub fn begin(&self) {
         self.begun.set(true);
-        self.rung.notify_waiters();
+        self.begin_notify.notify_waiters();
     }
 
-    /// Waits until no connection is open.
+    /// Waits until all connections are closed.
     pub async fn all_closed(&self) {
         while self.open() > 0 {
-            let rung = self.idle.notified();
-            tokio::pin!(rung);
-            rung.as_mut().enable();
+            let notified = self.closed_notify.notified();
+            tokio::pin!(notified);
+            notified.as_mut().enable();
             if self.open() > 0 {
-                rung.await;
+                notified.await;
             }
         }
     }
 
-    /// Connections that are open.
+    /// Number of open connections.
     pub const fn open(&self) -> usize {
         self.open.get()
     }
 }
 
-/// Smallest buffer that `hyper` takes for heads.
+/// Smallest head buffer that `hyper` accepts, in bytes.
 const MIN_HEAD_BYTES: usize = 8 << 10;
 
-/// Pause after a connection could not be accepted, for want of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after `accept` failed, for example because no file descriptor is free.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Answers callers until the task is dropped.
-pub async fn serve<F, R>(listener: TcpListener, answer: F, limits: &ServerLimits)
+/// Accepts connections and serves their requests until the task is dropped.
+pub async fn serve<F, R>(listener: TcpListener, handler: F, limits: &ServerLimits)
 where
     F: Fn(Request<Incoming>) -> R + Clone + 'static,
     R: Future<Output = Result<Response<Body>, Infallible>> + 'static,
@@ -105,7 +109,7 @@
             Ok((stream, _)) => stream,
             Err(err) => {
                 log::warn!("event=accept_failed cause={err:?}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
@@ -115,28 +119,31 @@
             .timer(TokioTimer::new())
             .header_read_timeout(limits.idle.get())
             .max_buf_size(limits.head_bytes.get().max(MIN_HEAD_BYTES));
-        let answer = answer.clone();
-        // Boxed, so that a connection without a request holds no room for one.
-        let service = service_fn(move |req| Box::pin(answer(req)));
+        let handler = handler.clone();
+        // Boxed, so that idle connections hold no memory for a request's
+        // future.
+        let service = service_fn(move |req| Box::pin(handler(req)));
         let conn = builder.serve_connection(TokioIo::new(stream), service);
-        spawn_local(drive(conn, Rc::clone(&limits.closing)));
+        spawn_local(drive_connection(conn, Rc::clone(&limits.closing)));
     }
 }
 
-/// Drives one connection to its end.
-async fn drive<S>(conn: http1::Connection<TokioIo<tokio::net::TcpStream>, S>, closing: Rc<Closing>)
-where
+/// Drives one connection until it is closed.
+async fn drive_connection<S>(
+    conn: http1::Connection<TokioIo<tokio::net::TcpStream>, S>,
+    closing: Rc<ConnectionDrain>,
+) where
     S: hyper::service::HttpService<Incoming, ResBody = Body>,
     S::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
     closing.open.set(closing.open.get() + 1);
     tokio::pin!(conn);
-    let mut asked = closing.begun.get();
-    if asked {
+    let mut shutting_down = closing.begun.get();
+    if shutting_down {
         conn.as_mut().graceful_shutdown();
     }
     loop {
-        let rung = closing.rung.notified();
+        let notified = closing.begin_notify.notified();
         tokio::select! {
             ended = conn.as_mut() => {
                 if let Err(err) = ended {
@@ -144,12 +151,12 @@
                 }
                 break;
             }
-            () = rung, if !asked => {
-                asked = true;
+            () = notified, if !shutting_down => {
+                shutting_down = true;
                 conn.as_mut().graceful_shutdown();
             }
         }
     }
     closing.open.set(closing.open.get() - 1);
-    closing.idle.notify_waiters();
+    closing.closed_notify.notify_waiters();
 }
--- a/crates/sapphirequayd/src/gateway/messages.rs
+++ b/crates/sapphirequayd/src/gateway/messages.rs
@@ -1,4 +1,7 @@
 //! Messages between the processes of a gateway.
+//!
+//! They are encoded with `postcard`, by position: variants and fields keep
+//! their order and types.
 
 use {
     quay_members::{Changes, ChangesRequest},
@@ -9,14 +12,14 @@
     std::net::SocketAddr,
 };
 
-/// First message of a stream; one answer follows.
+/// First message of a stream; exactly one reply follows.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GatewayRequest {
     /// For a control host; answered by [`ControlReply`].
     Control(ControlRequest),
     /// For a store host; answered by [`StoreReply`].
     Store(StoreRequest),
-    /// For a front: to be passed on to the store host at this address; answered
+    /// For a front, which relays it to the store host at this address; answered
     /// by [`StoreReply`].
     Relay(SocketAddr, StoreRequest),
 }
@@ -24,169 +27,173 @@
 // ---------------------------------------------------------------------------
 // Control hosts
 
-/// What is asked of the leader of the control group.
+/// Request to the leader of the control group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ControlRequest {
-    /// What changed; answered when something did, or after a while.
+    /// Long poll for changes: answered on a change, or after a time-out.
     Follow(FollowerState),
-    /// An upstream announces itself.
+    /// Announcement of an upstream.
     Announce(Box<Announcement>),
-    /// An upstream is leaving.
+    /// The named upstream is leaving; without an incarnation, the announced one
+    /// is meant.
     Leave(Box<str>, Option<Incarnation>),
-    /// Put a routing table into force.
+    /// Puts a routing table into force.
     PutTable(TableDocument),
-    /// Read the routing table in force.
+    /// Reads the routing table in force.
     GetTable,
-    /// A replica that belongs to no group wants to join.
+    /// A replica that belongs to no group asks to join.
     Join(Member),
-    /// A store host says how it stands.
+    /// Announcement of a store host with its current state.
     AnnounceStore(StoreAnnouncement),
-    /// Empty a store host.
+    /// Starts to retire a store host, which empties it.
     Retire(Box<str>),
-    /// Whether a store host is empty.
+    /// Asks whether a store host is empty.
     Retired(Box<str>),
 }
 
-/// How much a follower knows.
+/// State that a follower already has; the leader sends what differs from it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FollowerState {
-    /// Revision of the routing table; 0 without one.
+    /// Revision of its routing table; 0 without one.
     pub revision: u64,
-    /// Version of the view of stores.
+    /// Version of its view of the stores.
     pub stores: u64,
-    /// What is known of the directory.
+    /// Request for the directory changes that it lacks.
     pub directory: ChangesRequest,
-    /// Links of the follower.
+    /// Link address of the follower.
     pub link: SocketAddr,
 }
 
-/// A routing table as it was sent.
+/// A routing table as the operator sent it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableDocument {
-    /// Its revision.
+    /// Revision of the table.
     pub revision: u64,
     /// The document, byte for byte.
     #[serde(with = "quay_types::bytes")]
     pub document: Box<[u8]>,
 }
 
-/// News for a follower.
+/// Update from the control leader to a follower.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlUpdate {
     /// Version of the control state.
     pub version: u64,
-    /// The routing table, if the follower's is another.
+    /// The routing table, if the follower's differs.
     pub table: Option<TableDocument>,
-    /// The view of stores, if the follower's is another.
+    /// The view of the stores, if the follower's differs.
     pub stores: Option<StoreView>,
-    /// Changes of the directory.
+    /// Directory changes.
     pub directory: Changes,
-    /// Links of all control hosts.
+    /// Link addresses of all control hosts.
     pub controls: Vec<SocketAddr>,
-    /// Links of some other followers.
+    /// Link addresses of some other followers.
     pub followers: Vec<SocketAddr>,
 }
 
-/// Answer of a control host.
+/// Reply of a control host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ControlReply {
-    /// To [`ControlRequest::Follow`].
+    /// Reply to [`ControlRequest::Follow`].
     Update(Box<ControlUpdate>),
-    /// Done, or done before.
+    /// Executed now or earlier; requests are idempotent.
     Done,
-    /// To [`ControlRequest::GetTable`]; `None` before there is one.
+    /// Reply to [`ControlRequest::GetTable`]; `None` if no table was put yet.
     Table(Option<TableDocument>),
-    /// To [`ControlRequest::AnnounceStore`].
+    /// Reply to [`ControlRequest::AnnounceStore`]: the current view of the
+    /// stores.
     Stores(StoreView),
-    /// To [`ControlRequest::Retired`]: whether the host is empty.
+    /// Reply to [`ControlRequest::Retired`]: whether the host is empty.
     Retired(bool),
-    /// There is no such host.
+    /// The named host does not exist.
     Unknown,
-    /// Too few hosts would be left.
+    /// Refused, since too few store hosts would remain.
     TooFew,
-    /// Another host leads, if known; nothing happened.
+    /// Not executed, since this host is not the leader; holds the leader's
+    /// address if known.
     NotLeader(Option<SocketAddr>),
-    /// There is no quorum, or the command may yet be carried out.
+    /// No quorum was reached; the command may still be executed later.
     Unavailable,
 }
 
-/// What the control group replicates.
+/// Command in the replicated log of the control group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ControlCommand {
-    /// Put a routing table into force if its revision is the highest.
+    /// Puts a routing table into force if its revision is the highest.
     PutTable(TableDocument),
-    /// An upstream gets no new work in this run and earlier ones.
+    /// Gives an upstream no new requests in this incarnation or earlier ones.
     Depart(Box<str>, Incarnation),
-    /// Change the view of stores.
+    /// Changes the view of the stores.
     Stores(StoreChange),
 }
 
 // ---------------------------------------------------------------------------
 // Store hosts
 
-/// What is asked of a store host.
+/// Request to a store host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreRequest {
-    /// Identity of the store that is meant.
+    /// Identity of the addressed store.
     pub to: u64,
-    /// Epoch of the sender's view.
+    /// Epoch of the sender's view of the stores.
     pub epoch: u64,
-    /// Epoch in which the store joined, by the sender's view.
+    /// Epoch in which the store joined, according to the sender's view.
     pub joined: u64,
-    /// What is asked.
+    /// Operation to execute.
     pub op: StoreOp,
 }
 
-/// What is asked of a store.
+/// Operation on a store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreOp {
-    /// Keep a record.
+    /// Writes a record durably.
     Write(Record),
-    /// Keep a charge and tell all charges of its program.
+    /// Writes a charge durably and returns all charges of its program.
     Reserve(ProgramTag, Charge),
-    /// Tell a turn and all before it.
+    /// Returns a turn and all turns before it.
     Chain(TurnId),
-    /// Refuse earlier epochs from now on.
+    /// Makes the store refuse requests of earlier epochs from now on.
     FenceEpoch,
-    /// Tell these turns.
+    /// Returns the given turns.
     Fetch(Vec<TurnId>),
-    /// List turns, and tell charges, after these numbers.
+    /// Lists turns, and returns charges, after the given sequence numbers.
     List {
-        /// Number of the last turn that is known.
+        /// Sequence number of the last turn that the requester knows.
         turns: u64,
-        /// Number of the last program that is known.
+        /// Sequence number of the last program that the requester knows.
         programs: u64,
     },
 }
 
-/// Answer of a store host.
+/// Reply of a store host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreReply {
-    /// Synced.
+    /// The record is synced to disk.
     Synced,
-    /// Synced; every charge of the program.
+    /// The charge is synced to disk; holds every charge of the program.
     Charges(Vec<Charge>),
-    /// Turns, newest first, and the one at which the chain breaks off.
+    /// Turns, newest first, and the first turn that this store lacks, if any.
     Chain(Vec<TurnRecord>, Option<TurnId>),
-    /// To [`StoreOp::Fetch`]; turns that are not held are left out.
+    /// Reply to [`StoreOp::Fetch`]; turns that the store lacks are left out.
     Turns(Vec<TurnRecord>),
-    /// A part of all that is held.
+    /// Reply to [`StoreOp::List`].
     List(Box<StoreList>),
-    /// The sender's view is not in force.
+    /// The sender's view is out of date; holds the epoch that the store has
+    /// seen.
     Stale(u64),
-    /// The store can't do it now, or is not the one that is meant.
+    /// The store cannot serve the request now, or is not the addressed store.
     Refused,
 }
 
-/// A part of all that a store holds.
+/// Part of the contents of a store.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreList {
-    /// Turns.
+    /// Identifiers of turns.
     pub turns: Vec<TurnId>,
-    /// Charges.
+    /// Charges with the programs that they belong to.
     pub charges: Vec<(ProgramTag, Charge)>,
-    /// Number of the last turn that is listed.
+    /// Sequence number of the last listed turn.
     pub last_turn: u64,
-    /// Number of the last program whose charges are told.
+    /// Sequence number of the last program whose charges are included.
     pub last_program: u64,
 }
--- a/crates/sapphirequayd/src/gateway/meters.rs
+++ b/crates/sapphirequayd/src/gateway/meters.rs
@@ -1,36 +1,37 @@
-//! What a gateway counts and times. Labels only take values that the code names.
+//! Metrics of a gateway. Labels take only values from a fixed set in the code,
+//! which bounds the number of time series.
 
 use {
     metrics::{counter, gauge, histogram},
     std::time::Duration,
 };
 
-/// A part of the time that a call takes.
+/// Stage of a request, timed separately.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
-    /// From the call's arrival until it is sent to an upstream.
+    /// From the request's arrival until it is sent to an upstream.
     Wait,
-    /// From there until the upstream's first answer.
-    First,
-    /// From there until the upstream's last byte.
+    /// From then until the head of the upstream's response.
+    FirstResponse,
+    /// From the sending until the upstream's last byte.
     Stream,
-    /// From there until the turn is durable.
-    Keep,
+    /// From then until the turn is durable.
+    Persist,
 }
 
 impl Stage {
     const fn name(self) -> &'static str {
         match self {
             Self::Wait => "wait",
-            Self::First => "first",
+            Self::FirstResponse => "first",
             Self::Stream => "stream",
-            Self::Keep => "keep",
+            Self::Persist => "keep",
         }
     }
 }
 
-/// A call was answered, by an upstream or by the front.
-pub fn record_call(status: u16, took: Duration) {
+/// Counts and times a request answered by an upstream or by the front itself.
+pub fn record_call(status: u16, duration: Duration) {
     let class = match status {
         200..300 => "2xx",
         300..400 => "3xx",
@@ -39,25 +40,26 @@
         _ => "other",
     };
     counter!("sapphirequay_calls_total", "status" => class).increment(1);
-    histogram!("sapphirequay_call_seconds").record(took);
+    histogram!("sapphirequay_call_seconds").record(duration);
 }
 
-/// A call was refused.
+/// Counts a request that the front refused.
 pub fn record_refusal(kind: &'static str) {
     counter!("sapphirequay_refusals_total", "kind" => kind).increment(1);
 }
 
-/// A call has gone through a stage.
-pub fn record_stage(stage: Stage, took: Duration) {
-    histogram!("sapphirequay_stage_seconds", "stage" => stage.name()).record(took);
+/// Records the duration of a stage of a request.
+pub fn record_stage(stage: Stage, duration: Duration) {
+    histogram!("sapphirequay_stage_seconds", "stage" => stage.name()).record(duration);
 }
 
-/// An upstream got a call and gave no usable answer.
+/// Counts an attempt to which the upstream gave no usable response.
 pub fn record_lost_attempt(cause: &'static str) {
     counter!("sapphirequay_attempts_lost_total", "cause" => cause).increment(1);
 }
 
-/// What a front believes, and how old that is.
+/// Sets the gauges of a front. `control_age` is the time since the last update
+/// from the control group; `table` and `stores` are versions in use.
 #[allow(clippy::cast_precision_loss)]
 pub fn set_front(callers: usize, control_age: Option<Duration>, table: u64, stores: u64) {
     gauge!("sapphirequay_callers_connected").set(callers as f64);
@@ -67,19 +69,20 @@
     gauge!("sapphirequay_stores_version").set(stores as f64);
 }
 
-/// Whether this control host leads.
+/// Sets the gauge that tells whether this control host is the leader.
 pub fn set_leader(leads: bool) {
     gauge!("sapphirequay_leads").set(f64::from(u8::from(leads)));
 }
 
-/// A store has written and synced records together.
+/// Counts records that a store synced in one batch and times the sync.
 #[allow(clippy::cast_precision_loss)]
-pub fn record_sync(records: usize, took: Duration) {
+pub fn record_sync(records: usize, duration: Duration) {
     counter!("sapphirequay_store_records_total").increment(records as u64);
-    histogram!("sapphirequay_store_sync_seconds").record(took);
+    histogram!("sapphirequay_store_sync_seconds").record(duration);
 }
 
-/// What a store holds.
+/// Sets the gauges of a store: its number of turns and whether its copy is
+/// complete.
 #[allow(clippy::cast_precision_loss)]
 pub fn set_store(turns: usize, whole: bool) {
     gauge!("sapphirequay_store_turns").set(turns as f64);
--- a/crates/sapphirequayd/src/gateway/mod.rs
+++ b/crates/sapphirequayd/src/gateway/mod.rs
@@ -1,10 +1,10 @@
-//! The roles of a gateway: fronts pass plain HTTP requests on to upstreams,
-//! control hosts keep what operators and upstreams say, store hosts keep turns
-//! and charges of programs.
+//! Roles of a gateway: fronts forward plain HTTP requests to upstreams, control
+//! hosts replicate routing tables and announcements of upstreams, store hosts
+//! store the turns and charges of programs.
 //!
-//! Each process runs tasks on one `tokio` thread; the replica of a control host
-//! has threads of its own. A [`Dialect`](quay_routes::Dialect) stands between
-//! the wire and everything here.
+//! Each process runs its tasks on one `tokio` thread; the replica of a control
+//! host has its own threads. A [`Dialect`](quay_routes::Dialect) translates
+//! between the HTTP messages on the wire and the types used here.
 
 mod control;
 mod control_client;
--- a/crates/sapphirequayd/src/gateway/run.rs
+++ b/crates/sapphirequayd/src/gateway/run.rs
@@ -1,4 +1,4 @@
-//! Starts the role of a gateway that the settings name and ends it on a signal.
+//! Starts the gateway role that the settings select and stops it on a signal.
 
 use {
     super::{
@@ -41,24 +41,25 @@
 
 /// Silence after which a link is given up: less than a second, in which callers
 /// turn to another host.
-const LINK_IDLE: Duration = Duration::from_millis(1_600);
+const LINK_IDLE_TIMEOUT: Duration = Duration::from_millis(1_600);
 
-/// Interval of keep-alive packets on an idle link.
+/// Interval between keep-alive packets on an idle link.
 const LINK_KEEP_ALIVE: Duration = Duration::from_millis(500);
 
-/// Interval at which the settings file is looked at.
-const SETTINGS_EVERY: Duration = Duration::from_secs(1);
+/// Interval at which the settings file is checked for changes.
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Why a gateway could not start.
 #[derive(Debug)]
 pub enum GatewayError {
-    /// An address, a file or a thread can't be had.
+    /// An address, a file, a thread or another system resource is unavailable;
+    /// names the resource.
     Io(&'static str, io::Error),
-    /// Links can't be set up.
+    /// The links could not be set up.
     Link(LinkError),
-    /// The replica of the control group can't be started.
+    /// The replica of the control group could not be started.
     Group(GroupStartError),
-    /// The settings name no role of a gateway.
+    /// The settings select no gateway role.
     NoRole,
 }
 
@@ -68,7 +69,7 @@
             Self::Io(what, err) => write!(f, "{what}: {err}"),
             Self::Link(err) => write!(f, "{err}"),
             Self::Group(err) => write!(f, "{err}"),
-            Self::NoRole => f.write_str("the settings name no role of a gateway"),
+            Self::NoRole => f.write_str("the settings select no gateway role"),
         }
     }
 }
@@ -79,12 +80,12 @@
     move |err| GatewayError::Io(what, err)
 }
 
-/// Runs the role of a gateway until a signal ends it. `path` is the settings
-/// file, which may change.
+/// Runs the configured gateway role until a termination signal. `path` is the
+/// settings file, which is reloaded when it changes.
 ///
 /// # Errors
 ///
-/// Says what can't be had.
+/// If a resource needed for the start is unavailable, or no role is configured.
 pub fn run(
     settings: &Settings,
     path: &Path,
@@ -92,23 +93,23 @@
     dialect: impl Dialect,
 ) -> Result<(), GatewayError> {
     let lifecycle = Lifecycle::default();
-    // Without an address to read it from, nothing is recorded.
+    // Metrics are recorded only if there is an address to read them from.
     if let Some(listen) = settings.process.monitor {
         telemetry::start();
-        Monitor::start(listen, lifecycle.clone()).map_err(io("address of metrics"))?;
+        Monitor::start(listen, lifecycle.clone()).map_err(io("metrics address"))?;
     }
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(io("runtime"))?;
+        .map_err(io("async runtime"))?;
     LocalSet::new().block_on(
         &runtime,
         serve(settings, path, identity, dialect, &lifecycle),
     )
 }
 
-/// What every role has.
-struct Base {
+/// Resources that every role uses.
+struct HostContext {
     clock: Clock,
     links: Links,
     incoming: mpsc::UnboundedReceiver<Incoming>,
@@ -126,7 +127,7 @@
     let (tx, incoming) = mpsc::unbounded_channel();
     let link_settings = LinkSettings {
         listen: Some(settings.link.listen),
-        idle_timeout: LINK_IDLE,
+        idle_timeout: LINK_IDLE_TIMEOUT,
         keep_alive: LINK_KEEP_ALIVE,
         ..LinkSettings::new(identity)
     };
@@ -135,27 +136,27 @@
     })
     .map_err(GatewayError::Link)?;
     let control = ControlClient::new(links.clone(), seeds.links());
-    let base = Base {
+    let base = HostContext {
         clock: Clock::start(),
         links,
         incoming,
         control: control.clone(),
     };
-    spawn_local(keep_settings(path.into(), control));
+    spawn_local(watch_settings(path.into(), control));
     let name = &settings.process.name;
     if let Some(front) = &settings.front {
         let host = start_front(settings, front, base, dialect).await?;
         log::info!("event=started name={name} role=front");
-        terminated(lifecycle).await?;
+        wait_for_termination(lifecycle).await?;
         host.drain(settings.process.grace()).await;
     } else if let Some(control) = &settings.control {
         start_control(settings, control, &seeds, base, dialect)?;
         log::info!("event=started name={name} role=control");
-        terminated(lifecycle).await?;
+        wait_for_termination(lifecycle).await?;
     } else if let Some(store) = &settings.store {
         start_store(settings, store, &seeds, base)?;
         log::info!("event=started name={name} role=store");
-        terminated(lifecycle).await?;
+        wait_for_termination(lifecycle).await?;
     } else {
         return Err(GatewayError::NoRole);
     }
@@ -163,8 +164,8 @@
     Ok(())
 }
 
-/// Waits for the signal to end.
-async fn terminated(lifecycle: &Lifecycle) -> Result<(), GatewayError> {
+/// Waits for SIGTERM or SIGINT and marks the process as draining.
+async fn wait_for_termination(lifecycle: &Lifecycle) -> Result<(), GatewayError> {
     let mut term = signal(SignalKind::terminate()).map_err(io("signals"))?;
     let mut int = signal(SignalKind::interrupt()).map_err(io("signals"))?;
     tokio::select! {
@@ -181,7 +182,7 @@
 async fn start_front<D: Dialect>(
     settings: &Settings,
     front: &FrontSettings,
-    mut base: Base,
+    mut base: HostContext,
     dialect: D,
 ) -> Result<FrontHost<D>, GatewayError> {
     let data_centre = &settings.process.data_centre;
@@ -198,8 +199,8 @@
     let callers = TcpListener::bind(front.listen).await;
     let ready = TcpListener::bind(front.ready).await;
     host.start(
-        callers.map_err(io("address of callers"))?,
-        ready.map_err(io("address of readiness"))?,
+        callers.map_err(io("front address"))?,
+        ready.map_err(io("readiness address"))?,
     );
     spawn_local(async move {
         while let Some(incoming) = base.incoming.recv().await {
@@ -209,7 +210,7 @@
     Ok(host)
 }
 
-/// Passes a question of another front on to a store.
+/// Relays a request of another front to a store.
 fn serve_front(stores: &StoreClient, incoming: Incoming) {
     match incoming.first.decode() {
         Ok(LinkRequest::Gateway(GatewayRequest::Relay(addr, req))) => {
@@ -219,7 +220,7 @@
                 let _ = incoming.stream.send_from_task(&reply).await;
             });
         }
-        unserved => report_unserved(incoming.addr, unserved),
+        unsupported => log_unsupported(incoming.addr, unsupported),
     }
 }
 
@@ -227,7 +228,7 @@
     settings: &Settings,
     control: &ControlSettings,
     seeds: &SeedSettings,
-    mut base: Base,
+    mut base: HostContext,
     dialect: D,
 ) -> Result<(), GatewayError> {
     let ledger = group_settings(settings, control, seeds);
@@ -251,11 +252,12 @@
         own,
         seeds.losses,
     );
-    let listener = std::net::TcpListener::bind(control.listen).map_err(io("address of control"))?;
+    let listener =
+        std::net::TcpListener::bind(control.listen).map_err(io("control API address"))?;
     listener
         .set_nonblocking(true)
-        .map_err(io("address of control"))?;
-    host.start(listener).map_err(io("address of control"))?;
+        .map_err(io("control API address"))?;
+    host.start(listener).map_err(io("control API address"))?;
     spawn_local(async move {
         while let Some(incoming) = base.incoming.recv().await {
             serve_control(&host, &groups, incoming);
@@ -264,7 +266,8 @@
     Ok(())
 }
 
-/// The group as its first members start it; all others wait to be asked in.
+/// Settings of the control group: the seed hosts bootstrap it at the first
+/// start, all other hosts wait until the group adds them.
 fn group_settings(
     settings: &Settings,
     control: &ControlSettings,
@@ -290,7 +293,7 @@
     ledger
 }
 
-/// Serves a stream to a control host.
+/// Serves an incoming stream of a control host.
 fn serve_control<D: Dialect>(host: &ControlHost<D>, groups: &GroupHost, mut incoming: Incoming) {
     match incoming.first.decode() {
         Ok(LinkRequest::Gateway(GatewayRequest::Control(req))) => {
@@ -309,7 +312,7 @@
                 log::error!("event=peer_thread_failed cause={err}");
             }
         }
-        unserved => report_unserved(incoming.addr, unserved),
+        unsupported => log_unsupported(incoming.addr, unsupported),
     }
 }
 
@@ -317,11 +320,11 @@
     settings: &Settings,
     store: &StoreSettings,
     seeds: &SeedSettings,
-    mut base: Base,
+    mut base: HostContext,
 ) -> Result<(), GatewayError> {
-    let hello = StoreAnnouncement {
+    let announcement = StoreAnnouncement {
         host: settings.process.name.clone(),
-        // Never 0, which stands for none.
+        // Never 0, which means that there is no identity.
         identity: rand::rng().next_u64() | 1,
         addr: settings.link.listen,
         data_centre: settings.process.data_centre.clone(),
@@ -331,12 +334,12 @@
     let host = StoreHost::open(
         store.data.clone(),
         store.segment_bytes,
-        hello,
+        announcement,
         base.clock,
         base.links,
         base.control,
     )
-    .map_err(io("data folder"))?;
+    .map_err(io("data directory"))?;
     host.start();
     spawn_local(async move {
         while let Some(incoming) = base.incoming.recv().await {
@@ -346,7 +349,7 @@
     Ok(())
 }
 
-/// Serves a stream to a store host.
+/// Serves an incoming stream of a store host.
 fn serve_store(host: &StoreHost, incoming: Incoming) {
     match incoming.first.decode() {
         Ok(LinkRequest::Gateway(GatewayRequest::Store(req))) => {
@@ -356,12 +359,12 @@
                 let _ = incoming.stream.send_from_task(&reply).await;
             });
         }
-        unserved => report_unserved(incoming.addr, unserved),
+        unsupported => log_unsupported(incoming.addr, unsupported),
     }
 }
 
-/// Reports a stream that the role does not serve.
-fn report_unserved(peer: SocketAddr, first: Result<LinkRequest, LinkError>) {
+/// Logs an incoming stream that the role does not serve.
+fn log_unsupported(peer: SocketAddr, first: Result<LinkRequest, LinkError>) {
     match first {
         Ok(_) => log::warn!("event=link_request_refused peer={peer}"),
         Err(err) => log::warn!("event=link_request_unread peer={peer} cause={err:?}"),
@@ -369,25 +372,25 @@
 }
 
 // ---------------------------------------------------------------------------
-// Settings that change
+// Reload of settings
 
-/// Takes other seeds when the settings file has changed, told or not.
-async fn keep_settings(path: PathBuf, control: ControlClient) {
+/// Reloads the seed addresses on SIGHUP or when the settings file has changed.
+async fn watch_settings(path: PathBuf, control: ControlClient) {
     let Ok(mut hup) = signal(SignalKind::hangup()) else {
         log::error!("event=signals_unheard");
         return;
     };
-    let mut seen = changed_at(&path);
+    let mut last_modified = modified_at(&path);
     loop {
         let told = tokio::select! {
             _ = hup.recv() => true,
-            () = sleep(SETTINGS_EVERY) => false,
+            () = sleep(SETTINGS_POLL_INTERVAL) => false,
         };
-        let now = changed_at(&path);
-        if !told && now == seen {
+        let now = modified_at(&path);
+        if !told && now == last_modified {
             continue;
         }
-        seen = now;
+        last_modified = now;
         match Settings::load(&path) {
             Ok(settings) => {
                 let seeds = settings.gateway.unwrap_or_default().links();
@@ -399,6 +402,7 @@
     }
 }
 
-fn changed_at(path: &Path) -> Option<SystemTime> {
+/// Modification time of a file, if it can be read.
+fn modified_at(path: &Path) -> Option<SystemTime> {
     path.metadata().and_then(|meta| meta.modified()).ok()
 }
