--- a/crates/sapphirequayd/src/process/daemon.rs
+++ b/crates/sapphirequayd/src/process/daemon.rs
@@ -331,7 +331,7 @@
         lifecycle: lifecycle.clone(),
         health,
         clock,
-        numbers: Arc::default(),
+        next_attempt: Arc::default(),
         service: ServiceClient::new(sidecar.addr),
     })
 }
--- a/crates/sapphirequayd/src/request/attempt.rs
+++ b/crates/sapphirequayd/src/request/attempt.rs
@@ -1,4 +1,5 @@
-//! Life of one attempt on a sidecar: admission, the upstream, its events.
+//! Serves one attempt of a call on a sidecar: admission, the request to the
+//! upstream, and the events sent back to the entry.
 
 use {
     crate::{
@@ -24,45 +25,48 @@
     },
 };
 
-/// Interval of heartbeats while an attempt waits in the queue.
-const HEARTBEAT: Duration = Duration::from_secs(1);
+/// Interval of heartbeats to the entry while an attempt waits in the queue or
+/// for a plain service.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Tokens over which their mean distance is told to the gate.
-const METERED_TOKENS: u32 = 16;
+/// Number of tokens over which the mean token interval is averaged before it is
+/// reported to the admission gate.
+const TOKEN_GAP_WINDOW: u32 = 16;
 
-/// Time beyond the deadline after which a sidecar ends an attempt by itself:
-/// its entry, which knows more, should do so first.
+/// Time past the call's deadline after which a sidecar ends an attempt itself.
+/// The entry has more information about the call and should end it first.
 const DEADLINE_MARGIN: Duration = Duration::from_secs(1);
 
-/// What attempts on one sidecar share.
+/// Handles shared by all attempts on one sidecar.
 #[derive(Debug, Clone)]
 pub struct AttemptContext {
-    /// This run of the sidecar.
+    /// Incarnation of the running sidecar process.
     pub incarnation: Incarnation,
-    /// Queue before the upstream.
+    /// Admission queue in front of the upstream.
     pub gate: Mailbox<GateMsg>,
-    /// Decides what the engine keeps; `None` before a plain service.
+    /// Decides which KV blocks the engine retains; `None` if the upstream is a
+    /// plain service.
     pub kv: Option<Mailbox<KvMsg>>,
-    /// Permits that this run was shown.
+    /// Registry of the permits presented to this incarnation.
     pub permits: Mailbox<PermitMsg>,
-    /// The upstream, if it is a model engine.
+    /// Client of the upstream, used if it is a model engine.
     pub engine: EngineClient,
-    /// The upstream, if it is a plain service.
+    /// Client of the upstream, used if it is a plain service.
     pub service: ServiceClient,
-    /// Whether requests are taken.
+    /// Tracks requests in flight and whether new ones are accepted.
     pub lifecycle: Lifecycle,
     /// Health of the upstream.
     pub health: SharedHealth,
-    /// Time of the process.
+    /// Clock of the process.
     pub clock: Clock,
-    /// Number of the last attempt.
-    pub numbers: Arc<AtomicU64>,
+    /// Number of the next attempt; part of its stream id.
+    pub next_attempt: Arc<AtomicU64>,
 }
 
-/// Serves one attempt and reports its events on `stream`.
+/// Serves one attempt and sends its events on `stream`.
 pub fn serve_attempt(cx: &AttemptContext, stream: &mut LinkStream, call: &CallRequest) {
     let Some(_progress) = cx.lifecycle.begin() else {
-        let err = Error::new(ErrorKind::Draining, "the sidecar is leaving");
+        let err = Error::new(ErrorKind::Draining, "the sidecar is draining");
         return drop(stream.send(&CallEvent::Refused(err)));
     };
     let permit = match use_permit(cx, call) {
@@ -83,8 +87,9 @@
         }
         Err(err) => CallEvent::Refused(err),
     };
-    report(&last);
-    // Whoever asks hears of the end no later than the entry does.
+    record_end(&last);
+    // The registry learns of the end before the entry does, so that a permit
+    // query never returns an older status than the entry has seen.
     cx.permits.send(match &last {
         CallEvent::Refused(_) => PermitMsg::Refuse(permit),
         CallEvent::Body { .. } => PermitMsg::End(permit, Some(last.clone())),
@@ -93,32 +98,33 @@
     let _ = stream.send(&last);
 }
 
-/// Runs an admitted call of a model and tells the upstream's health of it.
+/// Runs an admitted model call and reports its outcome to the health tracker.
 fn run_model(cx: &AttemptContext, stream: &LinkStream, call: &CallRequest) -> CallEvent {
     if let Some(kv) = &cx.kv {
         kv.send(KvMsg::CallStarted(call.program, call.blocks.clone()));
     }
-    let mut run = Run::new(cx, stream, call);
+    let mut run = ModelAttempt::new(cx, stream, call);
     let last = run.run();
     if let Some(kv) = &cx.kv {
         kv.send(KvMsg::CallEnded(call.program));
     }
-    if let Some(good) = run.verdict(&last) {
-        cx.health.record_outcome(good);
+    if let Some(success) = run.health_outcome(&last) {
+        cx.health.record_outcome(success);
     }
     last
 }
 
-/// Uses the call's permit, or says why it can't be used.
+/// Consumes the call's permit; otherwise returns the event to reply with.
 fn use_permit(cx: &AttemptContext, call: &CallRequest) -> std::result::Result<PermitId, CallEvent> {
     let asked = cx.permits.ask(|reply| PermitMsg::Admit(call.permit, reply));
     asked.unwrap_or_else(|| {
-        let err = Error::new(ErrorKind::Draining, "the sidecar stops");
+        let err = Error::new(ErrorKind::Draining, "the sidecar is shutting down");
         Err(CallEvent::Refused(err))
     })
 }
 
-/// Tells an entry what became of a permit, and the kept answer if there is one.
+/// Replies to an entry's permit query with the permit's status and, if it is
+/// retained, the attempt's last event.
 pub fn answer_permit_query(
     cx: &AttemptContext,
     stream: &LinkStream,
@@ -130,15 +136,15 @@
         incarnation,
         reply,
     });
-    let Some((fate, answer)) = known else { return };
-    let _ = stream.send(&CallEvent::PermitStatus(fate));
-    if let Some(answer) = answer {
-        let _ = stream.send(&answer);
+    let Some((status, last)) = known else { return };
+    let _ = stream.send(&CallEvent::PermitStatus(status));
+    if let Some(last) = last {
+        let _ = stream.send(&last);
     }
 }
 
-/// Counts and logs the end of an attempt.
-fn report(last: &CallEvent) {
+/// Updates metrics and the log at the end of an attempt.
+fn record_end(last: &CallEvent) {
     let outcome = match last {
         CallEvent::Refused(err) | CallEvent::Failed(err) => err.kind.name(),
         _ => "ok",
@@ -159,34 +165,34 @@
     }
 }
 
-/// Waits for admission; the entry hears heartbeats meanwhile.
+/// Waits for admission and sends heartbeats to the entry meanwhile.
 fn admit(cx: &AttemptContext, stream: &LinkStream, call: &CallRequest) -> Result<TicketId> {
     if call.incarnation != cx.incarnation {
         return Err(Error::new(
             ErrorKind::PermitRefused,
-            "the permit is for another run of this sidecar",
+            "the permit was issued for another incarnation of this sidecar",
         ));
     }
     let (tx, rx) = mpsc::sync_channel(1);
     cx.gate
         .send(GateMsg::Admit(ticket(cx.clock.now(), call), tx));
     loop {
-        match rx.recv_timeout(HEARTBEAT) {
+        match rx.recv_timeout(HEARTBEAT_INTERVAL) {
             Ok(verdict) => return verdict,
             Err(RecvTimeoutError::Timeout) if stream.send(&CallEvent::Heartbeat).is_ok() => {}
             Err(_) => {
                 return Err(Error::new(
                     ErrorKind::Draining,
-                    "the sidecar or the entry has gone",
+                    "the sidecar is shutting down or the entry has disconnected",
                 ));
             }
         }
     }
 }
 
-/// Has the entry confirm a call that may not run twice. An entry that never
-/// heard that the call was ready knows by that that it did not run, also when
-/// this process dies.
+/// Waits for the entry to confirm a call that is not idempotent. An entry that
+/// never received `Ready` can conclude that the call did not run, even if this
+/// process crashes.
 fn confirm(stream: &mut LinkStream, call: &CallRequest, permit: PermitId) -> Result<()> {
     if call.idempotent {
         return Ok(());
@@ -202,8 +208,8 @@
     }
 }
 
-/// Calls a plain service. It goes on when the entry has gone: its answer is
-/// kept for whoever asks.
+/// Calls a plain service. The call continues if the entry disconnects: its
+/// response is retained for later permit queries.
 fn run_service(cx: &AttemptContext, stream: &LinkStream, call: &CallRequest) -> CallEvent {
     let _ = stream.send(&CallEvent::Started);
     let (tx, rx) = mpsc::sync_channel(1);
@@ -216,7 +222,7 @@
         return CallEvent::Refused(Error::new(ErrorKind::Overloaded, format!("thread: {err}")));
     }
     loop {
-        match rx.recv_timeout(HEARTBEAT) {
+        match rx.recv_timeout(HEARTBEAT_INTERVAL) {
             Ok(last) => {
                 cx.health.record_outcome(!matches!(
                     last,
@@ -226,7 +232,10 @@
             }
             Err(RecvTimeoutError::Timeout) => drop(stream.send(&CallEvent::Heartbeat)),
             Err(RecvTimeoutError::Disconnected) => {
-                let err = Error::new(ErrorKind::OutcomeUnknown, "the call of the service broke");
+                let err = Error::new(
+                    ErrorKind::OutcomeUnknown,
+                    "the thread calling the service panicked",
+                );
                 return CallEvent::Failed(err);
             }
         }
@@ -234,32 +243,32 @@
 }
 
 // ----------------------------------------------------------------------------
-// An admitted call of a model
+// Admitted model calls
 
-/// An admitted attempt.
-struct Run<'a> {
+/// An admitted attempt of a model call.
+struct ModelAttempt<'a> {
     cx: &'a AttemptContext,
     stream: &'a LinkStream,
     call: &'a CallRequest,
     id: StreamId,
     tracker: StreamTracker,
-    /// Since when tokens are counted, and how many came.
-    metered: Cell<(Time, u32)>,
+    /// Start of the current token-gap window, and tokens received in it.
+    token_window: Cell<(Time, u32)>,
 }
 
-impl<'a> Run<'a> {
-    /// Tells the gate from time to time how far apart tokens are.
-    fn meter(&self, tokens: u32) {
+impl<'a> ModelAttempt<'a> {
+    /// Reports the mean token interval to the admission gate once per window.
+    fn record_token_gap(&self, tokens: u32) {
         let now = self.cx.clock.now();
-        let (since, count) = self.metered.get();
+        let (since, count) = self.token_window.get();
         if since == Time::ZERO {
-            self.metered.set((now, 0));
-        } else if count + tokens >= METERED_TOKENS {
+            self.token_window.set((now, 0));
+        } else if count + tokens >= TOKEN_GAP_WINDOW {
             let gap = now.since(since) / (count + tokens);
             self.cx.gate.send(GateMsg::TokenGap(gap));
-            self.metered.set((now, 0));
+            self.token_window.set((now, 0));
         } else {
-            self.metered.set((since, count + tokens));
+            self.token_window.set((since, count + tokens));
         }
     }
 
@@ -278,56 +287,58 @@
             call,
             id: StreamId {
                 incarnation: cx.incarnation.0,
-                attempt: cx.numbers.fetch_add(1, Ordering::Relaxed),
+                attempt: cx.next_attempt.fetch_add(1, Ordering::Relaxed),
             },
             tracker: StreamTracker::new(settings, now),
-            metered: Cell::default(),
+            token_window: Cell::default(),
         }
     }
 
-    /// Runs the attempt to its last event.
+    /// Runs the attempt until it ends and returns its last event.
     fn run(&mut self) -> CallEvent {
         let _ = self.stream.send(&CallEvent::Started);
         let mut connection = self.cx.engine.start(self.id, &self.call.body);
         loop {
-            let (silent, input) = match &mut connection {
+            let (timed_out, event) = match &mut connection {
                 Ok(events) => {
-                    let input = events.next();
-                    (input == UpstreamEvent::ReadTimeout, input)
+                    let event = events.next();
+                    (event == UpstreamEvent::ReadTimeout, event)
                 }
-                Err(input) => (*input == UpstreamEvent::ReadTimeout, input.clone()),
+                Err(event) => (*event == UpstreamEvent::ReadTimeout, event.clone()),
             };
-            let step = self.tracker.handle(self.cx.clock.now(), input);
-            // The entry hears that the attempt lives, and this side whether the
-            // entry does.
-            if silent && self.stream.send(&CallEvent::Heartbeat).is_err() {
+            let action = self.tracker.handle(self.cx.clock.now(), event);
+            // The heartbeat tells the entry that the attempt is alive; a failed
+            // send tells the sidecar that the entry has disconnected.
+            if timed_out && self.stream.send(&CallEvent::Heartbeat).is_err() {
                 return self.cancelled();
             }
-            match self.carry_out(step, connection) {
+            match self.perform(action, connection) {
                 Ok(next) => connection = next,
                 Err(last) => return last,
             }
         }
     }
 
-    /// What the end of the attempt says of the upstream; `None` if nothing.
-    fn verdict(&self, last: &CallEvent) -> Option<bool> {
+    /// Whether the attempt counts as a success for the upstream's health;
+    /// `None` if it says nothing about the upstream.
+    fn health_outcome(&self, last: &CallEvent) -> Option<bool> {
         match last {
             CallEvent::End { .. } => Some(true),
             CallEvent::Failed(err) if err.kind == ErrorKind::Cancelled => None,
-            CallEvent::Failed(_) if self.tracker.blameless() => None,
+            CallEvent::Failed(_) if self.tracker.request_at_fault() => None,
             CallEvent::Refused(_) | CallEvent::Failed(_) => Some(false),
             _ => None,
         }
     }
 
-    /// Carries out a step: the connection to read from, or the last event.
-    fn carry_out(
+    /// Performs an action; returns the connection to read from next, or the
+    /// last event of the attempt.
+    fn perform(
         &self,
-        step: StreamAction,
+        action: StreamAction,
         connection: Connection,
     ) -> std::result::Result<Connection, CallEvent> {
-        match step {
+        match action {
             StreamAction::Read => Ok(connection),
             StreamAction::Forward {
                 offset,
@@ -339,7 +350,7 @@
                     tokens,
                     text,
                 };
-                self.meter(tokens);
+                self.record_token_gap(tokens);
                 match self.stream.send(&delta) {
                     Ok(()) => Ok(connection),
                     Err(_) => Err(self.cancelled()),
@@ -352,10 +363,10 @@
                 Ok(self.cx.engine.resume(self.id, tokens))
             }
             StreamAction::Resend => Ok(self.cx.engine.start(self.id, &self.call.body)),
-            StreamAction::End(finish, usage) => Err(end(finish, usage)),
+            StreamAction::End(finish, usage) => Err(end_event(finish, usage)),
             StreamAction::Truncate(usage) => {
                 let _ = self.cx.engine.cancel(self.id);
-                Err(end(FinishReason::Length, usage))
+                Err(end_event(FinishReason::Length, usage))
             }
             StreamAction::NotRun(err) => Err(CallEvent::Refused(err)),
             StreamAction::Fail(err) => {
@@ -365,22 +376,25 @@
         }
     }
 
-    /// Stops the engine because nobody waits for the answer.
+    /// Cancels generation on the engine because the entry has disconnected.
     fn cancelled(&self) -> CallEvent {
-        let heard = self.cx.engine.cancel(self.id);
+        let engine_heard = self.cx.engine.cancel(self.id);
         log::info!(
-            "event=attempt_cancelled stream={} engine_heard={heard}",
+            "event=attempt_cancelled stream={} engine_heard={engine_heard}",
             self.id
         );
-        CallEvent::Failed(Error::new(ErrorKind::Cancelled, "the entry has gone"))
+        CallEvent::Failed(Error::new(
+            ErrorKind::Cancelled,
+            "the entry has disconnected",
+        ))
     }
 }
 
-/// A connection to the upstream, or what it said instead.
+/// A connection to the upstream, or the event that replaced it.
 type Connection = std::result::Result<EngineStream, UpstreamEvent>;
 
-/// The event of a whole answer.
-const fn end(finish: FinishReason, usage: Usage) -> CallEvent {
+/// The last event of a complete response.
+const fn end_event(finish: FinishReason, usage: Usage) -> CallEvent {
     CallEvent::End {
         finish,
         prompt: usage.prompt,
--- a/crates/sapphirequayd/src/request/call.rs
+++ b/crates/sapphirequayd/src/request/call.rs
@@ -1,5 +1,5 @@
-//! Life of one call on an entry: leave of the ledger, attempts on upstreams,
-//! settlement, and only then the end of the answer.
+//! Runs one call on an entry: obtains a permit from the ledger, makes attempts
+//! on upstreams, settles the outcome, and only then ends the response.
 
 use {
     crate::{
@@ -23,81 +23,82 @@
     },
 };
 
-/// Tokens in a block of a prompt.
+/// Tokens per prompt block.
 const BLOCK_TOKENS: u64 = 64;
 
-/// AttemptContext of one call at most.
+/// Maximum number of attempts per call.
 const MAX_ATTEMPTS: usize = 3;
 
-/// Longest wait for the ledger to answer whether a call may run.
-const BEGIN_PATIENCE: Duration = Duration::from_secs(4);
+/// Longest wait for the ledger to decide whether a call may run.
+const BEGIN_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Longest wait for the ledger to record how an attempt ended.
-const SETTLE_PATIENCE: Duration = Duration::from_secs(15);
+/// Longest wait for the ledger to record the outcome of an attempt.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Longest wait for an earlier call of the program; longer than the ledger holds
-/// the next call back after one whose outcome is unknown.
-const ORDER_PATIENCE: Duration = Duration::from_secs(20);
+/// Longest wait for an earlier call of the program. Longer than the time for
+/// which the ledger delays the next call after one with an unknown outcome.
+const PREDECESSOR_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// First pause before the ledger is asked again about an attempt of another
-/// entry; doubles up to [`MAX_JOIN_PAUSE`].
-const JOIN_PAUSE: Duration = Duration::from_millis(50);
+/// First back-off before the ledger is polled again about an attempt of another
+/// entry; doubles up to [`MAX_JOIN_BACKOFF`].
+const MIN_JOIN_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Longest pause before the ledger is asked again.
-const MAX_JOIN_PAUSE: Duration = Duration::from_millis(500);
+/// Longest back-off before the ledger is polled again.
+const MAX_JOIN_BACKOFF: Duration = Duration::from_millis(500);
 
-/// A permit that another entry was given is not asked about sooner: asking marks
-/// one that has not arrived yet as refused, and its entry may be on the way.
-const INQUIRE_AFTER: Duration = Duration::from_secs(1);
+/// Time before a sidecar is queried about a permit of another entry. A query
+/// marks a permit that has not arrived yet as refused, and that entry's request
+/// may still be on its way.
+const QUERY_DELAY: Duration = Duration::from_secs(1);
 
-/// An attempt that has ended and that nobody settles for so long is settled by
-/// whoever asks about it.
+/// Time after which an attempt that has ended but is not settled by its own
+/// entry is settled by an entry that joined it.
 const SETTLE_GRACE: Duration = Duration::from_secs(2);
 
-/// A sidecar that is not announced, or does not answer, for so long is taken
-/// for gone. Longer than a directory takes to be rebuilt after its hosts were
-/// lost.
-const GONE_GRACE: Duration = Duration::from_secs(8);
+/// Time after which a sidecar that is not announced or does not answer is
+/// considered lost. Longer than it takes to rebuild a directory whose hosts
+/// were lost.
+const SIDECAR_LOST_GRACE: Duration = Duration::from_secs(8);
 
-/// Where the answer goes, in the form that the caller asked for.
+/// Writes a response to the caller in the format that the caller requested.
 pub trait ResponseWriter {
-    /// Passes part of the answer on.
+    /// Writes part of the response.
     ///
     /// # Errors
     ///
-    /// Fails if the caller has gone away.
+    /// Fails if the caller has disconnected.
     fn delta(&mut self, text: &str) -> io::Result<()>;
 
-    /// Tells the caller that the answer begins again from nothing.
+    /// Tells the caller to discard the text received so far and start again.
     ///
     /// # Errors
     ///
-    /// Fails if the caller has gone away.
+    /// Fails if the caller has disconnected.
     fn restart(&mut self) -> io::Result<()>;
 
-    /// Keeps the caller's connection alive.
+    /// Keeps the caller's connection open, in formats that allow it.
     ///
     /// # Errors
     ///
-    /// Fails if the caller has gone away.
+    /// Fails if the caller has disconnected.
     fn heartbeat(&mut self) -> io::Result<()>;
 
-    /// Marks the end of a whole answer.
+    /// Marks the end of a complete response.
     ///
     /// # Errors
     ///
-    /// Fails if the caller has gone away.
+    /// Fails if the caller has disconnected.
     fn end(&mut self, finish: FinishReason, usage: Usage) -> io::Result<()>;
 
-    /// Passes on the whole answer of a plain service.
+    /// Writes the complete response of a plain service.
     ///
     /// # Errors
     ///
-    /// Fails if the caller has gone away.
+    /// Fails if the caller has disconnected.
     fn body(&mut self, status: u16, body: &[u8]) -> io::Result<()>;
 }
 
-/// Tokens that the upstream counted.
+/// Token counts reported by the upstream.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Usage {
     /// Prompt tokens.
@@ -108,19 +109,19 @@
     pub output: Tokens,
 }
 
-/// What calls on one entry share.
+/// Handles shared by all calls on one entry.
 #[derive(Debug, Clone)]
 pub struct CallContext {
     /// Links to sidecars.
     pub links: Links,
-    /// Chooses upstreams.
+    /// Router that chooses upstreams.
     pub router: Mailbox<RouterMsg>,
-    /// Decides what may run and records how it ended.
+    /// Client of the ledger, which permits calls and records their outcomes.
     pub ledger: LedgerClient,
 }
 
 impl CallContext {
-    /// Asks the router for an upstream that was not tried yet.
+    /// Asks the router for an upstream that was not tried yet, if there is one.
     fn pick(&self, order: &CallSpec, tried: &[UpstreamId], attempt: AttemptKind) -> Option<Pick> {
         let request = &order.request;
         let req = PickRequest {
@@ -138,107 +139,109 @@
         asked.flatten()
     }
 
-    /// Finds the sidecar of an upstream, if it is announced.
+    /// Looks up the sidecar of an upstream, if it is announced.
     fn find(&self, upstream: UpstreamId) -> Option<Pick> {
         let asked = self.router.ask(|reply| RouterMsg::Find(upstream, reply));
         asked.flatten()
     }
 }
 
-/// A call on its way through an entry.
-struct Running<'a, A> {
+/// State of a call in progress on an entry.
+struct ActiveCall<'a, A> {
     cx: &'a CallContext,
     order: &'a CallSpec,
     delivery: Delivery<'a, A>,
     /// Upstreams that refused, failed or lost the call.
     tried: Vec<UpstreamId>,
-    /// AttemptContext that may have run without a whole answer.
+    /// Number of attempts that may have run without a complete response.
     lost: usize,
-    /// Whether the call may run more than once, as its first send said.
+    /// Whether the call may run more than once, as stated by its first send.
     idempotent: bool,
-    /// How many of these the budgets of retries have covered.
-    retried: usize,
-    /// Whether an upstream was asked for.
+    /// Number of `lost` attempts already charged to the retry budgets.
+    charged_retries: usize,
+    /// Whether the router was asked for an upstream before.
     picked: bool,
-    /// Why the last attempt was refused.
+    /// Error of the last attempt that did not run.
     refusal: Option<Error>,
-    /// Whether an attempt that another entry began may still run.
+    /// Whether an attempt of another entry may still be running.
     joined: bool,
-    /// Since when the program's earlier call is waited for.
+    /// Start of the wait for the program's earlier call.
     waiting_since: Option<Instant>,
-    /// The attempt of another entry that was joined last, and since when.
+    /// Permit of the last joined attempt of another entry, and when it was
+    /// joined.
     joined_since: Option<(PermitId, Instant)>,
-    /// Since when the attempt of another entry is known to have ended.
-    ended_since: Option<Instant>,
-    /// Pause before the ledger is asked again.
-    join_pause: Duration,
+    /// Time since which the joined attempt is no longer known to be running.
+    not_running_since: Option<Instant>,
+    /// Back-off before the ledger is polled again about the joined attempt.
+    join_backoff: Duration,
 }
 
-/// Runs a call and passes its answer on.
+/// Runs a call and writes its response.
 ///
 /// # Errors
 ///
-/// The error that the caller is told, if no answer was whole.
+/// Returns the error for the caller if no complete response was obtained.
 pub fn run_call(
     cx: &CallContext,
     order: &CallSpec,
-    answer: &mut impl ResponseWriter,
+    writer: &mut impl ResponseWriter,
 ) -> Result<()> {
-    let mut running = Running {
+    let mut active = ActiveCall {
         cx,
         order,
-        delivery: Delivery::new(answer),
+        delivery: Delivery::new(writer),
         tried: Vec::new(),
         lost: 0,
         idempotent: order.request.idempotent,
-        retried: 0,
+        charged_retries: 0,
         picked: false,
         refusal: None,
         joined: false,
         waiting_since: None,
         joined_since: None,
-        ended_since: None,
-        join_pause: JOIN_PAUSE,
+        not_running_since: None,
+        join_backoff: MIN_JOIN_BACKOFF,
     };
-    let ended = running.run();
-    if let Err(err) = &ended {
+    let result = active.run();
+    if let Err(err) = &result {
         log::info!(
             "event=call_failed program={} key={} kind={} lost={} cause={:?}",
             order.request.program,
             order.key,
             err.kind,
-            running.lost,
+            active.lost,
             err.message
         );
     }
-    ended
+    result
 }
 
-impl<A: ResponseWriter> Running<'_, A> {
-    /// Takes steps until the call has ended.
+impl<A: ResponseWriter> ActiveCall<'_, A> {
+    /// Repeats steps until the call has ended.
     fn run(&mut self) -> Result<()> {
         loop {
             if self.step()? {
                 return Ok(());
             }
-            if self.order.left().is_zero() {
-                return Err(self.overdue());
+            if self.order.time_left().is_zero() {
+                return Err(self.deadline_exceeded());
             }
         }
     }
 
-    /// Asks the ledger and does what it says; `true` once the call has ended.
+    /// Requests a permit and acts on the ledger's reply; returns `true` once
+    /// the call has ended.
     fn step(&mut self) -> Result<bool> {
-        let attempt = match (self.picked, self.lost > self.retried) {
+        let attempt = match (self.picked, self.lost > self.charged_retries) {
             (false, _) => AttemptKind::First,
             (true, false) => AttemptKind::Reroute,
             (true, true) => AttemptKind::Retry,
         };
-        (self.picked, self.retried) = (true, self.lost);
+        (self.picked, self.charged_retries) = (true, self.lost);
         let pick = self.cx.pick(self.order, &self.tried, attempt);
-        let asked = Instant::now();
+        let requested_at = Instant::now();
         let reply = self.begin(pick.as_ref());
-        let went = match (reply, &pick) {
+        let result = match (reply, &pick) {
             (
                 Ok(BeginReply::Granted {
                     permit,
@@ -249,27 +252,28 @@
                 Some(pick),
             ) => {
                 self.idempotent = idempotent;
-                self.attempt(pick, permit, attained, asked)
+                self.attempt(pick, permit, attained, requested_at)
             }
-            (Ok(reply), _) => self.heed(reply),
-            (Err(fault), _) => Err(self.without_ledger(fault)),
+            (Ok(reply), _) => self.handle_reply(reply),
+            (Err(fault), _) => Err(self.ledger_error(fault)),
         };
         if let Some(pick) = pick {
             self.cx.router.send(RouterMsg::Done(pick.upstream));
         }
-        went
+        result
     }
 
-    /// Asks the ledger whether the call may run on the chosen upstream.
+    /// Requests a permit from the ledger to run the call on the chosen
+    /// upstream.
     fn begin(&self, pick: Option<&Pick>) -> std::result::Result<BeginReply, LedgerClientError> {
         let upstream = pick.map(|pick| (pick.upstream, pick.incarnation));
         let begin = self.order.begin(upstream.unwrap_or_default());
         let req = LedgerRequest::Begin(begin);
-        let patience = BEGIN_PATIENCE.min(self.order.left());
+        let timeout = BEGIN_TIMEOUT.min(self.order.time_left());
         match self
             .cx
             .ledger
-            .request(self.order.request.program, &req, patience)?
+            .request(self.order.request.program, &req, timeout)?
         {
             LedgerReply::Begin(reply) => Ok(reply),
             LedgerReply::Refused(err) => Ok(BeginReply::Refused(err)),
@@ -277,74 +281,77 @@
         }
     }
 
-    /// Acts on an answer of the ledger that is no leave to run.
-    fn heed(&mut self, reply: BeginReply) -> Result<bool> {
+    /// Acts on a reply of the ledger that grants no usable permit.
+    fn handle_reply(&mut self, reply: BeginReply) -> Result<bool> {
         match reply {
             BeginReply::Wait(ms) => self.wait_for_predecessor(Duration::from_millis(ms.into())),
             BeginReply::Replay(outcome) => self.replay(outcome).map(|()| true),
             BeginReply::Running(permit) => self.join(permit),
             BeginReply::Refused(err) => {
-                // That no other upstream is left says less than why one refused.
+                // The earlier refusal of an upstream tells the caller more than
+                // the fact that no other upstream is left.
                 let refusal = self.refusal.take();
                 let refusal = refusal.filter(|_| err.kind == ErrorKind::NoUpstream);
                 Err(self.give_up(refusal.unwrap_or(err)))
             }
             BeginReply::Granted { permit, .. } => {
-                // Leave was given for no upstream: nothing can run under it.
+                // The permit names no upstream, so nothing can run under it.
                 self.settle(permit, Outcome::NotRun)?;
                 Ok(false)
             }
         }
     }
 
-    /// Waits until the program's earlier call has ended, within a bound.
+    /// Waits for the program's earlier call to end, up to
+    /// [`PREDECESSOR_TIMEOUT`].
     fn wait_for_predecessor(&mut self, pause: Duration) -> Result<bool> {
         let since = *self.waiting_since.get_or_insert_with(Instant::now);
-        if since.elapsed() >= ORDER_PATIENCE {
+        if since.elapsed() >= PREDECESSOR_TIMEOUT {
             return Err(Error::new(
                 ErrorKind::PredecessorOpen,
                 "the program's earlier call has not ended",
             ));
         }
-        let pause = pause.max(since.elapsed() / 4).min(MAX_JOIN_PAUSE);
-        thread::sleep(pause.min(self.order.left()));
+        let pause = pause.max(since.elapsed() / 4).min(MAX_JOIN_BACKOFF);
+        thread::sleep(pause.min(self.order.time_left()));
         self.delivery.heartbeat();
         Ok(false)
     }
 
     // -----------------------------------------------------------------------
-    // AttemptContext
+    // Attempts
 
-    /// Runs one attempt under its permit and settles it.
+    /// Runs one attempt under its permit and settles its outcome.
     fn attempt(
         &mut self,
         pick: &Pick,
         permit: Permit,
         attained: Tokens,
-        asked: Instant,
+        requested_at: Instant,
     ) -> Result<bool> {
         let mut request = self.order.request.clone();
         request.permit = Some(permit);
         request.incarnation = pick.incarnation;
         request.attained = attained;
         request.idempotent = self.idempotent;
-        request.deadline_ms = u64::try_from(self.order.left().as_millis()).unwrap_or(u64::MAX);
+        request.deadline_ms = u64::try_from(self.order.time_left().as_millis()).unwrap_or(u64::MAX);
         self.delivery.next_attempt();
         let end = run_attempt(
             &self.cx.links,
             pick.addr,
             request,
             self.order.deadline,
-            asked,
+            requested_at,
             &mut self.delivery,
         );
         self.tried.push(pick.upstream);
-        self.tell_found(*pick, &end);
+        self.report_cached_blocks(*pick, &end);
         self.conclude(permit, end)
     }
 
-    /// Tells the router what the upstream found in its cache, if it says so.
-    fn tell_found(&self, pick: Pick, end: &AttemptEnd) {
+    /// Reports to the router how many blocks the upstream found in its prefix
+    /// cache.
+    fn report_cached_blocks(&self, pick: Pick, end: &AttemptEnd) {
         let AttemptEnd::Completed { usage, .. } = end else {
             return;
         };
@@ -359,15 +366,15 @@
         }
     }
 
-    /// Settles an attempt by how it ended.
+    /// Settles an attempt according to how it ended.
     fn conclude(&mut self, permit: Permit, end: AttemptEnd) -> Result<bool> {
         match end {
-            AttemptEnd::Completed { answer, usage } => {
-                let outcome = answer.outcome(usage.prompt, usage.output);
-                if let Some(stands) = self.settle(permit, outcome)? {
-                    return self.replay(stands).map(|()| true);
+            AttemptEnd::Completed { response, usage } => {
+                let outcome = response.outcome(usage.prompt, usage.output);
+                if let Some(recorded) = self.settle(permit, outcome)? {
+                    return self.replay(recorded).map(|()| true);
                 }
-                self.delivery.finish(&answer, usage);
+                self.delivery.finish(&response, usage);
                 Ok(true)
             }
             AttemptEnd::NotRun(err) => {
@@ -385,16 +392,16 @@
                     used: used.unwrap_or(permit.reserved),
                 };
                 match self.settle(permit, outcome)? {
-                    Some(stands) => self.replay(stands).map(|()| true),
+                    Some(recorded) => self.replay(recorded).map(|()| true),
                     None => Err(err),
                 }
             }
-            AttemptEnd::Lost(err) => self.lost(permit, err),
+            AttemptEnd::Lost(err) => self.handle_lost(permit, err),
         }
     }
 
-    /// Deals with an attempt of which the end was not heard.
-    fn lost(&mut self, permit: Permit, err: Error) -> Result<bool> {
+    /// Handles an attempt whose end was not received.
+    fn handle_lost(&mut self, permit: Permit, err: Error) -> Result<bool> {
         log::warn!(
             "event=attempt_lost program={} permit={}/{} cause={:?}",
             self.order.request.program,
@@ -402,10 +409,10 @@
             permit.id.index,
             err.message
         );
-        if let Some(known) = self.ask_sidecar(permit) {
+        if let Some(known) = self.query_sidecar(permit) {
             match known {
                 (PermitStatus::Refused, _) => {
-                    let text = format!("the call never reached its upstream: {}", err.message);
+                    let text = format!("the call was not sent to the upstream: {}", err.message);
                     let err = Error::new(ErrorKind::PermitRefused, text);
                     return self.conclude(permit, AttemptEnd::NotRun(err));
                 }
@@ -414,8 +421,8 @@
             }
         }
         self.lost += 1;
-        if let Some(stands) = self.settle(permit, Outcome::Unknown)? {
-            return self.replay(stands).map(|()| true);
+        if let Some(recorded) = self.settle(permit, Outcome::Unknown)? {
+            return self.replay(recorded).map(|()| true);
         }
         if !self.idempotent {
             return Err(unknown_outcome());
@@ -426,8 +433,8 @@
         Ok(false)
     }
 
-    /// Asks the sidecar named in a permit what became of it.
-    fn ask_sidecar(&self, permit: Permit) -> Option<(PermitStatus, Option<AttemptEnd>)> {
+    /// Queries the sidecar named in a permit for the permit's status.
+    fn query_sidecar(&self, permit: Permit) -> Option<(PermitStatus, Option<AttemptEnd>)> {
         let pick = self.cx.find(permit.upstream)?;
         if pick.incarnation != permit.incarnation {
             return Some((PermitStatus::Unknown, None));
@@ -435,53 +442,55 @@
         query_permit(&self.cx.links, pick.addr, permit)
     }
 
-    /// Joins an attempt that another entry began, or that an entry began which
-    /// has died: waits for its outcome, or finds out that nobody will bring it.
+    /// Joins an attempt started by another entry: waits for its outcome, and
+    /// settles the attempt if that entry does not, for example because it
+    /// crashed.
     fn join(&mut self, permit: Permit) -> Result<bool> {
         self.joined = true;
-        if !self.may_inquire(permit.id) {
-            self.pause_join();
+        if !self.may_query(permit.id) {
+            self.back_off();
             return Ok(false);
         }
-        let known = self.ask_sidecar(permit);
+        let known = self.query_sidecar(permit);
         match known {
             Some((PermitStatus::Refused, _)) => {
                 self.joined = false;
                 self.settle(permit, Outcome::NotRun)?;
                 return Ok(false);
             }
-            Some((PermitStatus::Running, _)) => self.ended_since = None,
-            // Its entry may still be about to settle it.
+            Some((PermitStatus::Running, _)) => self.not_running_since = None,
+            // The attempt's own entry may still be about to settle it.
             known => {
-                let since = *self.ended_since.get_or_insert_with(Instant::now);
-                let grace = known.as_ref().map_or(GONE_GRACE, |_| SETTLE_GRACE);
+                let since = *self.not_running_since.get_or_insert_with(Instant::now);
+                let grace = known.as_ref().map_or(SIDECAR_LOST_GRACE, |_| SETTLE_GRACE);
                 if since.elapsed() >= grace {
-                    self.ended_since = None;
+                    self.not_running_since = None;
                     return self.settle_for_another(permit, known);
                 }
             }
         }
-        self.pause_join();
+        self.back_off();
         Ok(false)
     }
 
-    /// Whether a joined attempt has had time to reach its sidecar.
-    fn may_inquire(&mut self, id: PermitId) -> bool {
+    /// Whether a joined attempt has had enough time to reach its sidecar.
+    fn may_query(&mut self, id: PermitId) -> bool {
         let joined = self.joined_since.filter(|(known, _)| *known == id);
         let (_, since) = *self
             .joined_since
             .insert(joined.unwrap_or((id, Instant::now())));
-        since.elapsed() >= INQUIRE_AFTER
+        since.elapsed() >= QUERY_DELAY
     }
 
-    /// Waits before the ledger is asked again about another entry's attempt.
-    fn pause_join(&mut self) {
-        thread::sleep(self.join_pause.min(self.order.left()));
-        self.join_pause = (self.join_pause * 2).min(MAX_JOIN_PAUSE);
+    /// Backs off before the ledger is polled again about another entry's
+    /// attempt.
+    fn back_off(&mut self) {
+        thread::sleep(self.join_backoff.min(self.order.time_left()));
+        self.join_backoff = (self.join_backoff * 2).min(MAX_JOIN_BACKOFF);
         self.delivery.heartbeat();
     }
 
-    /// Settles an attempt whose entry does not.
+    /// Settles an attempt that its own entry did not settle.
     fn settle_for_another(
         &mut self,
         permit: Permit,
@@ -493,28 +502,30 @@
         self.lost += 1;
         self.joined = false;
         self.settle(permit, Outcome::Unknown)?;
-        // The ledger answers with the recorded outcome, or with the next permit.
+        // The next step gets the recorded outcome or a new permit from the
+        // ledger.
         Ok(false)
     }
 
     // -----------------------------------------------------------------------
-    // Endings
+    // Settlement and errors
 
-    /// The error for a deadline that passed between two steps.
-    fn overdue(&self) -> Error {
+    /// Error for a deadline that passed between two steps.
+    fn deadline_exceeded(&self) -> Error {
         if self.joined {
             return Error::new(
                 ErrorKind::DeadlineExceeded,
-                "the deadline passed while another entry ran the call",
+                "the deadline passed while another entry was running the call",
             );
         }
         self.give_up(Error::new(
             ErrorKind::DeadlineNotRun,
-            "the deadline passed before an upstream took the call",
+            "the deadline passed before an upstream accepted the call",
         ))
     }
 
-    /// Makes an outcome durable; another outcome that stands is returned.
+    /// Records an outcome in the ledger. Returns the outcome that was recorded
+    /// before, if there is one; that outcome takes precedence.
     fn settle(&self, permit: Permit, outcome: Outcome) -> Result<Option<Outcome>> {
         let may_have_run = outcome != Outcome::NotRun;
         let settle = Settle {
@@ -526,16 +537,16 @@
         let asked = self
             .cx
             .ledger
-            .request(self.order.request.program, &req, SETTLE_PATIENCE);
+            .request(self.order.request.program, &req, SETTLE_TIMEOUT);
         match asked {
             Ok(LedgerReply::Done) => Ok(None),
             Ok(LedgerReply::Superseded(outcome)) => Ok(Some(outcome)),
             _ if may_have_run => Err(unknown_outcome()),
-            _ => Err(self.without_ledger(LedgerClientError::Unknown)),
+            _ => Err(self.ledger_error(LedgerClientError::Unknown)),
         }
     }
 
-    /// Tells the caller what was recorded.
+    /// Sends the recorded outcome to the caller.
     fn replay(&mut self, outcome: Outcome) -> Result<()> {
         match outcome {
             Outcome::Completed {
@@ -543,16 +554,19 @@
                 output,
                 answer,
             } => {
-                let answer = RecordedResponse::decode(&answer).ok_or_else(|| {
-                    Error::new(ErrorKind::Internal, "the recorded answer does not decode")
+                let response = RecordedResponse::decode(&answer).ok_or_else(|| {
+                    Error::new(
+                        ErrorKind::Internal,
+                        "the recorded response could not be decoded",
+                    )
                 })?;
-                self.delivery.replay(&answer);
+                self.delivery.replay(&response);
                 let usage = Usage {
                     prompt,
                     output,
                     ..Usage::default()
                 };
-                self.delivery.finish(&answer, usage);
+                self.delivery.finish(&response, usage);
                 Ok(())
             }
             Outcome::Failed { kind, message, .. } => Err(Error::new(kind, message)),
@@ -560,8 +574,9 @@
         }
     }
 
-    /// The error where the ledger does not answer.
-    fn without_ledger(&self, fault: LedgerClientError) -> Error {
+    /// Error for a ledger that did not answer. The call is reported as not run
+    /// only if no attempt was lost and no earlier send of it can exist.
+    fn ledger_error(&self, fault: LedgerClientError) -> Error {
         if self.lost > 0 || self.order.key_supplied {
             fault.unreachable_error()
         } else {
@@ -569,8 +584,9 @@
         }
     }
 
-    /// Tells the ledger that the caller gets `err`, so that later calls of the
-    /// program need not wait; the error as the caller may be told it.
+    /// Tells the ledger that the call is given up, so that later calls of the
+    /// program do not wait for it. Returns the error for the caller, which does
+    /// not claim that the call did not run if an attempt was lost.
     fn give_up(&self, err: Error) -> Error {
         if !self.tried.is_empty() || self.lost > 0 {
             let (program, key) = (self.order.request.program, self.order.key);
@@ -578,7 +594,7 @@
             if self
                 .cx
                 .ledger
-                .request(program, &req, BEGIN_PATIENCE)
+                .request(program, &req, BEGIN_TIMEOUT)
                 .is_err()
             {
                 log::warn!("event=give_up_unheard program={program} key={key}");
@@ -587,7 +603,7 @@
         if self.lost > 0 && err.not_run() {
             return Error::new(
                 ErrorKind::UpstreamLost,
-                format!("an attempt was lost, then: {err}"),
+                format!("an earlier attempt was lost, and the call then failed: {err}"),
             );
         }
         if self.lost > 0 {
@@ -597,10 +613,10 @@
     }
 }
 
-/// The error for a call that may have run and is never run again.
+/// Error for a call that may have run and must not run again.
 fn unknown_outcome() -> Error {
     Error::new(
         ErrorKind::OutcomeUnknown,
-        "the call may have run, and its answer was lost",
+        "the call may have run, but its response was lost",
     )
 }
--- a/crates/sapphirequayd/src/request/call_spec.rs
+++ b/crates/sapphirequayd/src/request/call_spec.rs
@@ -1,4 +1,4 @@
-//! What an entry is to do for one call.
+//! Description of one call on its entry.
 
 use {
     quay_types::{
@@ -8,31 +8,32 @@
     std::time::{Duration, Instant},
 };
 
-/// Everything that stays the same over the attempts of a call.
+/// Data of a call that is the same for all of its attempts.
 #[derive(Debug, Clone)]
 pub struct CallSpec {
-    /// The call as sidecars see it, but for permit and incarnation.
+    /// Request sent to sidecars; each attempt sets its permit and incarnation.
     pub request: CallRequest,
-    /// Position that the caller named.
+    /// Position of the call in its program, if the caller gave one.
     pub number: Option<CallNumber>,
-    /// Identity across resends.
+    /// Idempotency key, which is the same for every resend of the call.
     pub key: RequestKey,
-    /// Whether the caller named the key, so that an earlier send may exist.
+    /// Whether the caller supplied the key, so that the call may have been sent
+    /// before.
     pub key_supplied: bool,
-    /// Digest of the content.
+    /// Digest of the request's content.
     pub digest: ContentDigest,
-    /// Limits of a program that is made for this call alone.
+    /// Limits of the program created for this call, if the caller names none.
     pub implicit: Option<ProgramLimits>,
-    /// New part of the prompt, for the program's history.
+    /// Messages new in this call, for the program's history.
     pub prompt: Box<[u8]>,
-    /// Configuration that the entry acts on.
+    /// Index of the configuration that the entry uses.
     pub config: ConfigIndex,
-    /// When the caller stops waiting.
+    /// Time at which the caller stops waiting.
     pub deadline: Instant,
 }
 
 impl CallSpec {
-    /// Tokens to set aside.
+    /// Tokens to reserve from the budget: the prompt and the longest output.
     #[must_use]
     pub fn reserve(&self) -> Tokens {
         Tokens(
@@ -43,7 +44,7 @@
         )
     }
 
-    /// The request to the ledger for a permit on `upstream`.
+    /// Request to the ledger for a permit on `upstream`.
     #[must_use]
     pub fn begin(&self, upstream: (UpstreamId, Incarnation)) -> Begin {
         Begin {
@@ -63,7 +64,7 @@
 
     /// Time until the deadline.
     #[must_use]
-    pub fn left(&self) -> Duration {
+    pub fn time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 }
--- a/crates/sapphirequayd/src/request/delivery.rs
+++ b/crates/sapphirequayd/src/request/delivery.rs
@@ -1,99 +1,104 @@
-//! Writes to a caller that may go away while its call goes on.
+//! Delivers a response to a caller that may disconnect before the call ends.
 
 use {
     crate::request::{RecordedResponse, ResponseText, ResponseWriter, TextUpdate, Usage},
     std::io,
 };
 
-/// The answer on its way to the caller.
+/// Delivery of one call's response to the caller.
 ///
-/// A caller that goes away does not end its call: the answer is recorded, and
-/// a resend gets it.
+/// The call continues if the caller disconnects: the response is recorded, and
+/// a resend receives it.
 pub struct Delivery<'a, A> {
-    answer: &'a mut A,
-    spliced: ResponseText,
-    /// Whether a write has failed.
-    gone: bool,
+    writer: &'a mut A,
+    text: ResponseText,
+    /// Whether a write has failed, so that the caller has disconnected.
+    disconnected: bool,
 }
 
 impl<'a, A: ResponseWriter> Delivery<'a, A> {
-    /// A delivery to a caller that has nothing yet.
-    pub fn new(answer: &'a mut A) -> Self {
+    /// Creates a delivery of which the caller has received nothing yet.
+    pub fn new(writer: &'a mut A) -> Self {
         Self {
-            answer,
-            spliced: ResponseText::default(),
-            gone: false,
+            writer,
+            text: ResponseText::default(),
+            disconnected: false,
         }
     }
 
     /// Starts the next attempt.
     pub fn next_attempt(&mut self) {
-        self.spliced.next_attempt();
+        self.text.next_attempt();
     }
 
-    /// Passes part of the attempt's answer on; `false` if bytes before it are missing.
-    pub fn part(&mut self, offset: u64, text: &str) -> bool {
-        let Some(splice) = self.spliced.accept(offset, text) else {
+    /// Forwards part of the attempt's response; returns `false` if bytes before
+    /// `offset` are missing.
+    pub fn write_part(&mut self, offset: u64, text: &str) -> bool {
+        let Some(update) = self.text.accept(offset, text) else {
             return false;
         };
-        let written = write(self.answer, self.gone, splice);
-        self.heed(written);
+        let written = write_update(self.writer, self.disconnected, update);
+        self.check_write(written);
         true
     }
 
-    /// Passes a recorded answer on, in place of what was delivered.
-    pub fn replay(&mut self, answer: &RecordedResponse) {
-        if let RecordedResponse::Text { text, .. } = answer {
-            self.spliced.next_attempt();
-            self.part(0, text);
+    /// Forwards a recorded response, which replaces the text delivered so far.
+    pub fn replay(&mut self, response: &RecordedResponse) {
+        if let RecordedResponse::Text { text, .. } = response {
+            self.text.next_attempt();
+            self.write_part(0, text);
         }
     }
 
-    /// Keeps the connection alive.
+    /// Keeps the caller's connection open.
     pub fn heartbeat(&mut self) {
-        if !self.gone {
-            let written = self.answer.heartbeat();
-            self.heed(written);
+        if !self.disconnected {
+            let written = self.writer.heartbeat();
+            self.check_write(written);
         }
     }
 
-    /// Text of the attempt so far.
+    /// Text of the current attempt received so far.
     pub fn text(&self) -> &str {
-        self.spliced.text()
+        self.text.text()
     }
 
-    /// Ends a whole answer that is recorded.
-    pub fn finish(&mut self, answer: &RecordedResponse, usage: Usage) {
-        let spliced = write(self.answer, self.gone, self.spliced.end());
-        self.heed(spliced);
-        if self.gone {
+    /// Ends the delivery of a complete response, which the ledger has recorded.
+    pub fn finish(&mut self, response: &RecordedResponse, usage: Usage) {
+        let updated = write_update(self.writer, self.disconnected, self.text.end());
+        self.check_write(updated);
+        if self.disconnected {
             return;
         }
-        let written = match answer {
-            RecordedResponse::Text { finish, .. } => self.answer.end(*finish, usage),
-            RecordedResponse::Body { status, body } => self.answer.body(*status, body),
+        let written = match response {
+            RecordedResponse::Text { finish, .. } => self.writer.end(*finish, usage),
+            RecordedResponse::Body { status, body } => self.writer.body(*status, body),
         };
-        self.heed(written);
+        self.check_write(written);
     }
 
-    /// Notes that the caller has gone.
-    fn heed(&mut self, written: io::Result<()>) {
+    /// Marks the caller as disconnected if a write failed.
+    fn check_write(&mut self, written: io::Result<()>) {
         if let Err(err) = written {
             log::info!("event=caller_gone cause={err:?}");
-            self.gone = true;
+            self.disconnected = true;
         }
     }
 }
 
-/// Writes what a splice says.
-fn write(answer: &mut impl ResponseWriter, gone: bool, splice: TextUpdate<'_>) -> io::Result<()> {
-    match splice {
-        _ if gone => Ok(()),
+/// Writes an update unless the caller has disconnected.
+fn write_update(
+    writer: &mut impl ResponseWriter,
+    disconnected: bool,
+    update: TextUpdate<'_>,
+) -> io::Result<()> {
+    match update {
+        _ if disconnected => Ok(()),
         TextUpdate::Unchanged => Ok(()),
-        TextUpdate::Append(text) => answer.delta(text),
+        TextUpdate::Append(text) => writer.delta(text),
         TextUpdate::Restart(text) => {
-            answer.restart()?;
-            answer.delta(text)
+            writer.restart()?;
+            writer.delta(text)
         }
     }
 }
--- a/crates/sapphirequayd/src/request/mod.rs
+++ b/crates/sapphirequayd/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! What lives for one call.
+//! State and logic that live as long as one call.
 
 mod attempt;
 mod call;
--- a/crates/sapphirequayd/src/request/permit_query.rs
+++ b/crates/sapphirequayd/src/request/permit_query.rs
@@ -1,4 +1,4 @@
-//! Asks a sidecar what became of a permit.
+//! Queries a sidecar for the status of a permit.
 
 use {
     crate::{
@@ -10,10 +10,11 @@
     std::net::SocketAddr,
 };
 
-/// Asks the sidecar at `addr`; a permit that it never saw is refused from now
-/// on. The end of the attempt comes with the answer if the sidecar kept it.
+/// Queries the sidecar at `addr`. A permit that the sidecar has not seen is
+/// marked as refused by the query. The end of the attempt is returned too, if
+/// the sidecar retained it.
 ///
-/// `None` if the sidecar does not answer.
+/// Returns `None` if the sidecar does not answer.
 pub fn query_permit(
     links: &Links,
     addr: SocketAddr,
@@ -22,12 +23,12 @@
     let req = SidecarRequest::QueryPermit(permit.id, permit.incarnation);
     let opened = links.open(addr, LinkRole::Sidecar, &LinkRequest::Sidecar(req));
     let mut stream = opened.ok()?;
-    let CallEvent::PermitStatus(fate) = stream.recv().ok()? else {
+    let CallEvent::PermitStatus(status) = stream.recv().ok()? else {
         return None;
     };
-    if fate != PermitStatus::Ended {
-        return Some((fate, None));
+    if status != PermitStatus::Ended {
+        return Some((status, None));
     }
-    let kept = stream.recv::<CallEvent>().ok();
-    Some((fate, kept.map(|event| end_of(event, ""))))
+    let last_event = stream.recv::<CallEvent>().ok();
+    Some((status, last_event.map(|event| end_of(event, ""))))
 }
--- a/crates/sapphirequayd/src/request/recorded_response.rs
+++ b/crates/sapphirequayd/src/request/recorded_response.rs
@@ -1,31 +1,31 @@
-//! Answers in the form in which the ledger keeps them.
+//! Responses in the form in which the ledger stores them.
 
 use {
     quay_types::{FinishReason, Outcome, Tokens},
     serde::{Deserialize, Serialize},
 };
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RecordedResponse {
-    /// The answer of a model.
+    /// Response of a model.
     Text {
-        /// Why it ended.
+        /// Why generation ended.
         finish: FinishReason,
-        /// The text.
+        /// Generated text.
         text: Box<str>,
     },
-    /// The answer of a plain service.
+    /// Response of a plain service.
     Body {
-        /// HTTP status of the service.
+        /// HTTP status.
         status: u16,
-        /// The body.
+        /// HTTP body.
         body: Box<[u8]>,
     },
 }
 
 impl RecordedResponse {
-    /// The outcome that records this answer.
+    /// Encodes the response as a call outcome for the ledger.
     #[must_use]
     pub fn outcome(&self, prompt: Tokens, output: Tokens) -> Outcome {
         Outcome::Completed {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Reads the answer of a recorded outcome.
+    /// Decodes the response of a recorded outcome; `None` if it is malformed.
     #[must_use]
     pub fn decode(answer: &[u8]) -> Option<Self> {
         postcard::from_bytes(answer).ok()
--- a/crates/sapphirequayd/src/request/remote_attempt.rs
+++ b/crates/sapphirequayd/src/request/remote_attempt.rs
@@ -1,4 +1,4 @@
-//! Offers one attempt to a sidecar and follows its events.
+//! Runs one attempt on a remote sidecar, seen from the entry.
 
 use {
     crate::{
@@ -15,47 +15,49 @@
     },
 };
 
-/// Time from asking for a permit to the last moment at which a call that may
-/// not run twice is let run. With the silence limit of links, within which the
-/// sidecar must hear of it, this stays below the ledger's `start_limit_ms`.
-const CONFIRM_LIMIT: Duration = Duration::from_secs(8);
+/// Time after the permit request within which a call that is not idempotent may
+/// be confirmed. Together with the idle time-out of links, within which the
+/// sidecar must receive the confirmation, it stays below the ledger's
+/// `start_limit_ms`.
+const CONFIRM_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// How an attempt ended, as far as its entry knows.
+/// How an attempt ended, as far as the entry knows.
 #[derive(Debug)]
 pub enum AttemptEnd {
-    /// The whole answer is here.
+    /// The complete response arrived.
     Completed {
-        /// The answer.
-        answer: RecordedResponse,
-        /// Tokens that the upstream counted.
+        /// The response.
+        response: RecordedResponse,
+        /// Token counts reported by the upstream.
         usage: Usage,
     },
-    /// Nothing ran, and nothing will under this permit.
+    /// The call did not run and never will under this permit.
     NotRun(Error),
-    /// It ran and ended with an error.
+    /// The call ran and ended with an error.
     Failed {
         /// The error.
         err: Error,
-        /// Tokens used; `None` if only the reservation bounds them.
+        /// Tokens used; `None` if unknown, in which case the reservation is the
+        /// upper bound.
         used: Option<Tokens>,
     },
-    /// It may have run, or may still run.
+    /// The call may have run, or may still be running.
     Lost(Error),
 }
 
-/// Runs one attempt and passes its answer on. `asked` is when the ledger was
-/// asked for its permit.
+/// Runs one attempt on `sidecar` and forwards its response. `requested_at` is
+/// the time at which the permit was requested from the ledger.
 pub fn run_attempt<A: ResponseWriter>(
     links: &Links,
     sidecar: SocketAddr,
     request: CallRequest,
     deadline: Instant,
-    asked: Instant,
+    requested_at: Instant,
     delivery: &mut Delivery<'_, A>,
 ) -> AttemptEnd {
-    let mut offer = Offer {
+    let mut attempt = RemoteAttempt {
         deadline,
-        confirm_until: asked + CONFIRM_LIMIT,
+        confirm_until: requested_at + CONFIRM_TIMEOUT,
         sent: request.idempotent,
         idempotent: request.idempotent,
         permit: request.permit.map(|permit| permit.id),
@@ -63,40 +65,43 @@
     let req = LinkRequest::Sidecar(SidecarRequest::Call(request));
     let mut stream = match links.open(sidecar, LinkRole::Sidecar, &req) {
         Ok(stream) => stream,
-        // Nothing was sent, so nothing ran.
+        // Nothing was sent, so the call did not run.
         Err(LinkError::Connect(text)) => {
             return AttemptEnd::NotRun(Error::new(ErrorKind::NoUpstream, text));
         }
         Err(LinkError::TooLarge { bytes }) => {
-            let text = format!("the request has {bytes} bytes");
+            let text = format!("the request of {bytes} bytes exceeds the link's frame limit");
             return AttemptEnd::NotRun(Error::new(ErrorKind::TooLarge, text));
         }
-        Err(err) => return offer.lost(&err),
+        Err(err) => return attempt.lost(&err),
     };
     loop {
-        if let Some(end) = offer.next_event(&mut stream, delivery) {
+        if let Some(end) = attempt.next_event(&mut stream, delivery) {
             return end;
         }
         if Instant::now() >= deadline {
-            return offer.overdue();
+            return attempt.deadline_exceeded();
         }
     }
 }
 
-/// What an entry knows of an attempt that it has offered.
-struct Offer {
+/// State that the entry keeps of an attempt on a sidecar.
+struct RemoteAttempt {
     deadline: Instant,
-    /// A call that may not run twice is not let run after this.
+    /// Time after which a call that is not idempotent is not confirmed any
+    /// more.
     confirm_until: Instant,
-    /// Whether the attempt may run more than once.
+    /// Whether the call may run more than once.
     idempotent: bool,
-    /// Whether all was sent that the sidecar needs to run the attempt.
+    /// Whether the sidecar was sent everything that it needs to run the
+    /// attempt: the request and, if the call is not idempotent, the
+    /// confirmation.
     sent: bool,
     permit: Option<PermitId>,
 }
 
-impl Offer {
-    /// Takes one event; the end of the attempt if it was the last.
+impl RemoteAttempt {
+    /// Handles one event; returns how the attempt ended if it was the last.
     fn next_event<A: ResponseWriter>(
         &mut self,
         stream: &mut LinkStream,
@@ -107,14 +112,14 @@
             Err(err) => return Some(self.lost(&err)),
         };
         match event {
-            CallEvent::Ready => self.proceed(stream),
+            CallEvent::Ready => self.confirm(stream),
             CallEvent::Delta { offset, text, .. } => {
-                if delivery.part(offset, &text) {
+                if delivery.write_part(offset, &text) {
                     return None;
                 }
                 let err = Error::new(
                     ErrorKind::Internal,
-                    "the sidecar left out part of the answer",
+                    "the sidecar skipped part of the response",
                 );
                 Some(AttemptEnd::Lost(err))
             }
@@ -127,13 +132,14 @@
         }
     }
 
-    /// Lets a call that may not run twice run, unless its time is over.
-    fn proceed(&mut self, stream: &LinkStream) -> Option<AttemptEnd> {
+    /// Confirms a call that is not idempotent, unless its permit is too old or
+    /// the deadline has passed.
+    fn confirm(&mut self, stream: &LinkStream) -> Option<AttemptEnd> {
         if Instant::now() >= self.deadline {
-            return Some(self.overdue());
+            return Some(self.deadline_exceeded());
         }
         if Instant::now() >= self.confirm_until {
-            let text = "the permit is too old to start the call";
+            let text = "the permit expired before the call was confirmed";
             return Some(AttemptEnd::NotRun(Error::new(
                 ErrorKind::PermitRefused,
                 text,
@@ -146,19 +152,19 @@
         stream.send(&proceed).err().map(|err| self.lost(&err))
     }
 
-    /// The end of an attempt whose deadline has passed. Dropping its stream
-    /// cancels it; what a call that may not run twice has done by then is not
-    /// known.
-    fn overdue(&self) -> AttemptEnd {
+    /// The end of an attempt whose deadline has passed. Dropping the stream
+    /// cancels the attempt; the outcome of a call that is not idempotent is
+    /// then unknown.
+    fn deadline_exceeded(&self) -> AttemptEnd {
         if !self.sent {
             return AttemptEnd::NotRun(Error::new(
                 ErrorKind::DeadlineNotRun,
-                "the deadline passed before the upstream had the call",
+                "the deadline passed before the call was sent to the upstream",
             ));
         }
         let err = Error::new(
             ErrorKind::DeadlineExceeded,
-            "the deadline passed while the call ran",
+            "the deadline passed while the call was running",
         );
         if self.idempotent {
             AttemptEnd::Failed { err, used: None }
@@ -167,20 +173,21 @@
         }
     }
 
-    /// The end of an attempt whose link broke: it ran, or may have, only if the
-    /// sidecar had all it needs.
+    /// The end of an attempt whose link failed. The call can have run only if
+    /// the sidecar was sent everything that it needs.
     fn lost(&self, err: &LinkError) -> AttemptEnd {
         if self.sent {
             let text = format!("sidecar: {err}");
             AttemptEnd::Lost(Error::new(ErrorKind::UpstreamLost, text))
         } else {
-            let text = format!("the call never reached its upstream: {err}");
+            let text = format!("the call was not sent to the upstream: {err}");
             AttemptEnd::NotRun(Error::new(ErrorKind::PermitRefused, text))
         }
     }
 }
 
-/// What the last event of an attempt says; `text` is its answer so far.
+/// Converts the last event of an attempt; `text` is the response received
+/// before.
 pub fn end_of(event: CallEvent, text: &str) -> AttemptEnd {
     match event {
         CallEvent::End {
@@ -189,7 +196,7 @@
             cached,
             output,
         } => AttemptEnd::Completed {
-            answer: RecordedResponse::Text {
+            response: RecordedResponse::Text {
                 finish,
                 text: text.into(),
             },
@@ -200,7 +207,7 @@
             },
         },
         CallEvent::Body { status, body } => AttemptEnd::Completed {
-            answer: RecordedResponse::Body { status, body },
+            response: RecordedResponse::Body { status, body },
             usage: Usage::default(),
         },
         CallEvent::Refused(err) => AttemptEnd::NotRun(err),
@@ -209,6 +216,9 @@
             used: text.is_empty().then_some(Tokens(0)),
         },
         CallEvent::Failed(err) => AttemptEnd::Lost(err),
-        _ => AttemptEnd::Lost(Error::new(ErrorKind::Internal, "unexpected last event")),
+        _ => AttemptEnd::Lost(Error::new(
+            ErrorKind::Internal,
+            "unexpected event at the end of an attempt",
+        )),
     }
 }
--- a/crates/sapphirequayd/src/request/response_text.rs
+++ b/crates/sapphirequayd/src/request/response_text.rs
@@ -1,36 +1,38 @@
-//! Joins the answer of a later attempt to what the caller already has.
+//! Continues a caller's partial response with the text of a later attempt.
 
-/// What to write to the caller.
+/// Update to write to the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TextUpdate<'a> {
-    /// Nothing that the caller does not have.
+    /// The caller already has this text.
     Unchanged,
-    /// Text that goes on where the caller's text ends.
+    /// Text to append to what the caller has.
     Append(&'a str),
-    /// The attempt says something else: the answer begins again with this text.
+    /// The attempt's text differs from what the caller has: the response
+    /// restarts with this text.
     Restart(&'a str),
 }
 
-/// The text of the current attempt beside the text that the caller has.
+/// Text of the current attempt and text already delivered to the caller.
 ///
-/// `delivered` is always a prefix of one attempt's text, never of a mixture.
+/// `delivered` is always a prefix of a single attempt's text; text of several
+/// attempts is never mixed.
 #[derive(Debug, Default)]
 pub struct ResponseText {
-    /// Text that the caller has.
+    /// Text delivered to the caller.
     delivered: String,
     /// Text of the current attempt.
     text: String,
 }
 
 impl ResponseText {
-    /// Starts the next attempt.
+    /// Starts the next attempt; the delivered text is kept.
     pub fn next_attempt(&mut self) {
         self.text.clear();
     }
 
-    /// Takes the part of the attempt's answer that starts at `offset`.
+    /// Adds the part of the attempt's response that starts at byte `offset`.
     ///
-    /// `None` if bytes before the part are missing.
+    /// Returns `None` if `offset` is not the end of the text received so far.
     pub fn accept(&mut self, offset: u64, part: &str) -> Option<TextUpdate<'_>> {
         if offset != self.text.len() as u64 {
             return None;
@@ -50,8 +52,8 @@
         Some(TextUpdate::Append(&self.delivered[from..]))
     }
 
-    /// Ends the attempt. One that ended before the caller's text did said
-    /// something else.
+    /// Ends the attempt. An attempt whose text is shorter than the delivered
+    /// text differs from it, so the response restarts.
     pub fn end(&mut self) -> TextUpdate<'_> {
         if self.delivered.len() == self.text.len() {
             TextUpdate::Unchanged
@@ -66,7 +68,7 @@
         &self.text
     }
 
-    /// Takes back what the caller has and begins with the attempt's text.
+    /// Replaces the delivered text with the attempt's text.
     fn restart(&mut self) -> TextUpdate<'_> {
         self.delivered.clone_from(&self.text);
         TextUpdate::Restart(&self.delivered)
--- a/crates/sapphirequayd/src/request/stream_tracker.rs
+++ b/crates/sapphirequayd/src/request/stream_tracker.rs
@@ -1,9 +1,9 @@
-//! Decides what to do with each thing that an upstream's connection says.
+//! State machine that handles the events of an upstream's response stream.
 //!
-//! A connection can fall silent, break, repeat events or skip some. The
-//! tracker passes each token on once and in order, asks for a fresh
-//! connection where the old one is of no use, and ends the attempt within
-//! bounded time and at its reservation.
+//! A connection can stall, break, or repeat or skip events. The tracker
+//! forwards each token exactly once and in order, requests a new connection
+//! where the old one is unusable, and ends the attempt within bounded time and
+//! within its token reservation.
 
 use {
     crate::request::Usage,
@@ -14,17 +14,17 @@
 /// Limits of one attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StreamTrackerSettings {
-    /// Whether the upstream may see the request more than once.
+    /// Whether the request may be sent to the upstream more than once.
     pub idempotent: bool,
-    /// Tokens after which the answer is cut.
+    /// Output tokens after which the response is truncated.
     pub max_output: Tokens,
-    /// Estimate of the prompt, for answers that end without a count.
+    /// Estimated prompt tokens, reported for truncated responses.
     pub prompt: Tokens,
-    /// The attempt ends then at the latest.
+    /// Time at which the attempt is ended at the latest.
     pub deadline: Time,
-    /// Longest time without a token.
+    /// Longest time without a new token.
     pub token_timeout: Duration,
-    /// Connections that may break in a row without a token in between.
+    /// Number of consecutive disconnects allowed without a token in between.
     pub max_disconnects: u32,
 }
 
@@ -41,127 +41,129 @@
     }
 }
 
-/// What a connection to the upstream says.
+/// Event on a connection to the upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum UpstreamEvent {
-    /// Part of the answer.
+    /// Part of the response.
     Text {
-        /// Tokens of the answer up to and with this text.
+        /// Tokens of the response up to and including this text.
         position: u64,
         /// Tokens in the text.
         tokens: u32,
         /// The text.
         text: Box<str>,
     },
-    /// The upstream says that the answer is whole.
+    /// The upstream reports that the response is complete.
     End {
-        /// Tokens of the whole answer; `None` if it keeps no count.
+        /// Tokens of the complete response; `None` if the upstream keeps no
+        /// count.
         position: Option<u64>,
-        /// Why it ended.
+        /// Why generation ended.
         finish: FinishReason,
-        /// Tokens that it counted.
+        /// Token counts reported by the upstream.
         usage: Usage,
     },
-    /// Nothing arrived for the read timeout.
+    /// No data arrived within the read time-out.
     ReadTimeout,
-    /// The connection ended early.
+    /// The connection closed before the response was complete.
     Broken,
-    /// No connection could be made.
+    /// No connection could be established.
     Unreachable,
     /// The upstream does not know the stream.
     Unknown,
-    /// The upstream answered with an error.
+    /// The upstream returned an error.
     Rejected {
-        /// What the caller is told.
+        /// Error to return to the caller.
         error: Error,
-        /// Whether it speaks against the upstream rather than the request.
+        /// Whether the upstream, rather than the request, is at fault.
         fault: bool,
     },
 }
 
-/// What to do next.
+/// Action that the caller of [`StreamTracker::handle`] performs next.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StreamAction {
-    /// Pass text on that begins at the byte `offset` of the answer.
+    /// Forward text that starts at byte `offset` of the response.
     Forward {
-        /// Bytes before the text.
+        /// Bytes of the response before the text.
         offset: u64,
         /// Tokens in the text.
         tokens: u32,
         /// The text.
         text: Box<str>,
     },
-    /// Read on.
+    /// Read the next event.
     Read,
-    /// Go on with a fresh connection after this many tokens.
+    /// Resume the stream on a new connection after this many tokens.
     Resume(u64),
-    /// Send the request again; the upstream never had it.
+    /// Send the request again, because the upstream never received it.
     Resend,
-    /// The answer is whole.
+    /// The response is complete.
     End(FinishReason, Usage),
-    /// The answer is cut at the reservation: stop the upstream.
+    /// The response reached its reservation: cancel the stream on the upstream.
     Truncate(Usage),
-    /// The attempt never ran.
+    /// The attempt did not run.
     NotRun(Error),
-    /// The attempt failed: stop the upstream if it can be reached.
+    /// The attempt failed: cancel the stream if the upstream can be reached.
     Fail(Error),
 }
 
-/// What one attempt has passed on.
+/// State of one attempt's response stream.
 #[derive(Debug)]
 pub struct StreamTracker {
     settings: StreamTrackerSettings,
-    /// Tokens passed on.
+    /// Tokens forwarded.
     tokens: u64,
-    /// Bytes passed on.
+    /// Bytes forwarded.
     bytes: u64,
-    /// When the last token came, or the attempt began.
-    moved: Time,
-    /// Connections that broke since then.
-    breaks: u32,
-    /// Whether a byte of the request may have reached the upstream.
+    /// Time of the last token, or of the attempt's start.
+    last_progress: Time,
+    /// Disconnects since `last_progress`.
+    disconnects: u32,
+    /// Whether any byte of the request may have reached the upstream.
     sent: bool,
     /// Whether the request was sent again.
-    repeated: bool,
-    /// Whether the upstream refused the request for the request's own fault.
-    blameless: bool,
+    resent: bool,
+    /// Whether the upstream rejected the request because of the request itself.
+    request_at_fault: bool,
 }
 
 impl StreamTracker {
-    /// An attempt that begins at `now`.
+    /// Creates the state of an attempt that starts at `now`.
     #[must_use]
     pub const fn new(settings: StreamTrackerSettings, now: Time) -> Self {
         Self {
             settings,
             tokens: 0,
             bytes: 0,
-            moved: now,
-            breaks: 0,
+            last_progress: now,
+            disconnects: 0,
             sent: false,
-            repeated: false,
-            blameless: false,
+            resent: false,
+            request_at_fault: false,
         }
     }
 
-    /// Whether a failure does not speak against the upstream.
+    /// Whether a failure is due to the request and says nothing about the
+    /// upstream's health.
     #[must_use]
-    pub const fn blameless(&self) -> bool {
-        self.blameless
+    pub const fn request_at_fault(&self) -> bool {
+        self.request_at_fault
     }
 
-    /// Takes what a connection says.
+    /// Handles an event and returns the action to perform.
     #[must_use]
-    pub fn handle(&mut self, now: Time, input: UpstreamEvent) -> StreamAction {
+    pub fn handle(&mut self, now: Time, event: UpstreamEvent) -> StreamAction {
         if now >= self.settings.deadline {
             return StreamAction::Fail(Error::new(
                 ErrorKind::DeadlineExceeded,
-                "the deadline passed while the upstream ran",
+                "the deadline passed while the upstream was generating",
             ));
         }
-        if input != UpstreamEvent::Unreachable {
+        if event != UpstreamEvent::Unreachable {
             self.sent = true;
         }
-        match input {
+        match event {
             UpstreamEvent::Text {
                 position,
                 tokens,
@@ -172,34 +174,35 @@
                 finish,
                 usage,
             } => self.end(position, finish, usage),
-            UpstreamEvent::ReadTimeout => self.silent(now),
+            UpstreamEvent::ReadTimeout => self.read_timeout(now),
             UpstreamEvent::Broken => self.broken(),
             UpstreamEvent::Unreachable => self.unreachable(),
             UpstreamEvent::Unknown => self.unknown(),
             UpstreamEvent::Rejected { error, fault } => {
-                self.blameless = !fault;
+                self.request_at_fault = !fault;
                 StreamAction::Fail(error)
             }
         }
     }
 
-    /// Passes text on if it is the next.
+    /// Forwards text if it directly follows the forwarded tokens.
     fn text(&mut self, now: Time, position: u64, tokens: u32, text: Box<str>) -> StreamAction {
         if position <= self.tokens {
             return StreamAction::Read;
         }
         if position.checked_sub(u64::from(tokens)) != Some(self.tokens) {
-            // Events are missing, or the text overlaps what was passed on.
+            // Events are missing, or the text overlaps tokens already
+            // forwarded.
             return self.broken();
         }
         if position > self.settings.max_output.0 {
-            return StreamAction::Truncate(self.cut());
+            return StreamAction::Truncate(self.truncated_usage());
         }
         let offset = self.bytes;
         self.tokens = position;
         self.bytes += text.len() as u64;
-        self.moved = now;
-        self.breaks = 0;
+        self.last_progress = now;
+        self.disconnects = 0;
         StreamAction::Forward {
             offset,
             tokens,
@@ -207,7 +210,7 @@
         }
     }
 
-    /// Ends the answer unless tokens are missing.
+    /// Ends the response; reconnects if tokens are missing.
     fn end(&mut self, position: Option<u64>, finish: FinishReason, usage: Usage) -> StreamAction {
         match position {
             Some(position) if position > self.tokens => self.broken(),
@@ -215,45 +218,47 @@
         }
     }
 
-    /// Goes on with a fresh connection until the upstream was quiet too long.
-    fn silent(&mut self, now: Time) -> StreamAction {
-        if now.since(self.moved) >= self.settings.token_timeout {
-            return StreamAction::Fail(self.lost("the upstream was quiet for too long"));
+    /// Reconnects, unless no token has arrived within the token time-out.
+    fn read_timeout(&mut self, now: Time) -> StreamAction {
+        if now.since(self.last_progress) >= self.settings.token_timeout {
+            return StreamAction::Fail(self.lost("the upstream sent no token within the time-out"));
         }
         StreamAction::Resume(self.tokens)
     }
 
-    /// Goes on with a fresh connection, a few times.
+    /// Reconnects, unless too many connections broke in a row.
     fn broken(&mut self) -> StreamAction {
-        self.breaks += 1;
-        if self.breaks > self.settings.max_disconnects {
-            return StreamAction::Fail(self.lost("connections to the upstream break"));
+        self.disconnects += 1;
+        if self.disconnects > self.settings.max_disconnects {
+            return StreamAction::Fail(self.lost("connections to the upstream broke repeatedly"));
         }
         StreamAction::Resume(self.tokens)
     }
 
-    /// Nothing listens: not run if no byte of the request was ever sent.
+    /// Handles a failed connection attempt. The request did not run if no byte
+    /// of it was sent before.
     fn unreachable(&mut self) -> StreamAction {
         if self.sent {
-            return StreamAction::Fail(self.lost("the upstream can't be reached any more"));
+            return StreamAction::Fail(self.lost("the upstream became unreachable"));
         }
         StreamAction::NotRun(Error::new(
             ErrorKind::NoUpstream,
-            "the upstream takes no connections",
+            "the upstream accepts no connections",
         ))
     }
 
-    /// The upstream never had the request, or has lost it.
+    /// Handles a stream unknown to the upstream, which never received the
+    /// request or has lost it.
     fn unknown(&mut self) -> StreamAction {
-        if self.settings.idempotent && self.tokens == 0 && !self.repeated {
-            self.repeated = true;
+        if self.settings.idempotent && self.tokens == 0 && !self.resent {
+            self.resent = true;
             return StreamAction::Resend;
         }
-        StreamAction::Fail(self.lost("the upstream has lost the stream"))
+        StreamAction::Fail(self.lost("the upstream no longer knows the stream"))
     }
 
-    /// The usage of an answer that is cut.
-    const fn cut(&self) -> Usage {
+    /// Usage of a truncated response.
+    const fn truncated_usage(&self) -> Usage {
         Usage {
             prompt: self.settings.prompt,
             cached: Tokens(0),
@@ -261,7 +266,7 @@
         }
     }
 
-    /// The error for an upstream that is gone while the request may have run.
+    /// Error for an upstream that was lost while the request may have run.
     fn lost(&self, message: &str) -> Error {
         let kind = if self.settings.idempotent {
             ErrorKind::UpstreamLost
