--- a/crates/sapphirequayd/tests/callers.rs
+++ b/crates/sapphirequayd/tests/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that send nonsense, too much or too little, or don't read.
+//! Callers that send invalid, oversized or incomplete requests, or never read.
 
 mod common;
 
@@ -16,7 +16,7 @@
     },
 };
 
-/// Time limits short enough for a test.
+/// Time-outs short enough for a test, in milliseconds.
 const SHORT_MS: u64 = 300;
 
 fn start(engine_settings: EngineSettings, entry: EntrySettings) -> (Daemons, Engine) {
@@ -25,7 +25,7 @@
     (daemons, engine)
 }
 
-fn impatient() -> EntrySettings {
+fn short_timeouts() -> EntrySettings {
     EntrySettings {
         read_timeout_ms: SHORT_MS,
         send_timeout_ms: SHORT_MS,
@@ -33,14 +33,15 @@
     }
 }
 
-/// A request with raw headers and the account's key.
+/// Head of a completion request with the account's key and the given header
+/// lines.
 fn raw_post(headers: &str) -> Vec<u8> {
     format!("POST /v1/chat/completions HTTP/1.1\r\nauthorization: Bearer {KEY}\r\n{headers}\r\n")
         .into_bytes()
 }
 
 #[test]
-fn bad_input_gets_a_clear_error() {
+fn invalid_requests_get_a_specific_error() {
     let (daemons, _engine) = start(EngineSettings::default(), EntrySettings::default());
     let messages = r#""messages":[{"role":"user","content":"hi"}]"#;
     let cases = [
@@ -72,15 +73,15 @@
         ("wrong", completion(true), 401, "unauthorized"),
     ];
     for (key, body, status, kind) in cases {
-        let (got, text) = post_once(daemons.addr(), key, &body);
-        assert_eq!(got, status, "{text}");
+        let (actual, text) = post_once(daemons.addr(), key, &body);
+        assert_eq!(actual, status, "{text}");
         assert!(text.contains(&format!(r#""kind":"{kind}""#)), "{text}");
         assert!(text.contains(r#""not_run":true"#), "{text}");
     }
 }
 
 #[test]
-fn unknown_paths_and_methods_are_told_apart() {
+fn unknown_paths_and_methods_get_different_errors() {
     let (daemons, _engine) = start(EngineSettings::default(), EntrySettings::default());
     let (status, text) = get(daemons.addr(), "/v1/chat/completions");
     assert_eq!((status, text.contains("method_not_allowed")), (405, true));
@@ -93,9 +94,9 @@
     let (daemons, _engine) = start(EngineSettings::default(), EntrySettings::default());
     let number = || {
         let response = ureq::get(&format!("http://{}/healthz", daemons.addr())).call();
-        let response = response.expect("answer");
+        let response = response.expect("response");
         let number = response.header("sapphirequay-request").expect("number");
-        number.parse::<u64>().expect("a number")
+        number.parse::<u64>().expect("numeric request number")
     };
     let first = number();
     assert!(number() > first);
@@ -106,7 +107,7 @@
 
 #[test]
 fn one_connection_serves_several_requests() {
-    let (daemons, _engine) = start(EngineSettings::default(), impatient());
+    let (daemons, _engine) = start(EngineSettings::default(), short_timeouts());
     let mut stream = connect(daemons.addr());
     let req = "GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n";
     let text = exchange(&mut stream, format!("{req}{req}").as_bytes());
@@ -117,12 +118,12 @@
 fn a_large_body_is_refused_before_it_is_read() {
     let (daemons, _engine) = start(EngineSettings::default(), EntrySettings::default());
     let mut stream = connect(daemons.addr());
-    // Not one byte of the body is sent: the length is enough.
+    // No byte of the body is sent: the announced length is enough.
     let head = raw_post(&format!("content-length: {}\r\n", 20 << 20));
     stream.write_all(&head).expect("head");
-    let mut answer = [0; 64];
-    let read = stream.read(&mut answer).expect("answer");
-    let text = String::from_utf8_lossy(&answer[..read]).into_owned();
+    let mut response = [0; 64];
+    let read = stream.read(&mut response).expect("response");
+    let text = String::from_utf8_lossy(&response[..read]).into_owned();
     assert!(text.starts_with("HTTP/1.1 413"), "{text}");
 }
 
@@ -130,7 +131,7 @@
 fn a_large_body_without_a_length_is_refused() {
     let settings = EntrySettings {
         max_body_bytes: 1_000,
-        ..impatient()
+        ..short_timeouts()
     };
     let (daemons, _engine) = start(EngineSettings::default(), settings);
     let mut stream = connect(daemons.addr());
@@ -143,8 +144,8 @@
 }
 
 #[test]
-fn a_length_beyond_memory_does_not_end_the_process() {
-    let (daemons, _engine) = start(EngineSettings::default(), impatient());
+fn a_content_length_beyond_memory_does_not_crash_the_process() {
+    let (daemons, _engine) = start(EngineSettings::default(), short_timeouts());
     let mut stream = connect(daemons.addr());
     let head = raw_post(&format!("content-length: {}\r\n", 1_u64 << 60));
     stream.write_all(&head).expect("head");
@@ -157,16 +158,16 @@
 }
 
 #[test]
-fn a_caller_that_stops_in_the_head_is_given_up() {
-    let (daemons, _engine) = start(EngineSettings::default(), impatient());
+fn a_caller_that_stalls_in_the_head_is_disconnected() {
+    let (daemons, _engine) = start(EngineSettings::default(), short_timeouts());
     let mut stream = connect(daemons.addr());
     let text = exchange(&mut stream, b"POST /v1/chat/completions HTTP/1.1\r\nauthor");
-    assert_eq!(text, "", "the connection is closed without an answer");
+    assert_eq!(text, "", "the connection is closed without a response");
 }
 
 #[test]
-fn a_caller_that_stops_in_the_body_is_told_so() {
-    let (daemons, _engine) = start(EngineSettings::default(), impatient());
+fn a_caller_that_stalls_in_the_body_gets_a_timeout_error() {
+    let (daemons, _engine) = start(EngineSettings::default(), short_timeouts());
     let mut stream = connect(daemons.addr());
     let mut req = raw_post("content-length: 5000\r\n");
     req.extend_from_slice(b"{\"model\":");
@@ -176,22 +177,22 @@
 }
 
 #[test]
-fn an_idle_entry_answers_after_ten_timeouts() {
-    let (daemons, _engine) = start(EngineSettings::default(), impatient());
+fn an_idle_entry_responds_after_ten_timeouts() {
+    let (daemons, _engine) = start(EngineSettings::default(), short_timeouts());
     thread::sleep(Duration::from_millis(SHORT_MS * 10));
     assert_eq!(get(daemons.addr(), "/healthz").0, 200);
     assert_eq!(post(daemons.addr(), KEY, &completion(false)).0, 200);
 }
 
 #[test]
-fn a_caller_that_never_reads_is_given_up() {
-    let many = EngineSettings {
+fn a_caller_that_never_reads_is_disconnected() {
+    let long_response = EngineSettings {
         prefill: Duration::ZERO,
         token_gap: Duration::ZERO,
         answer_tokens: 200_000,
         ..EngineSettings::default()
     };
-    let (daemons, _engine) = start(many, impatient());
+    let (daemons, _engine) = start(long_response, short_timeouts());
     assert_eq!(
         post(
             daemons.addr(),
@@ -206,20 +207,20 @@
     let mut req = raw_post(&format!("content-length: {}\r\n", body.len()));
     req.extend_from_slice(body.as_bytes());
     stream.write_all(&req).expect("request");
-    wait_for("the call begins", || {
+    wait_for("the call starts", || {
         daemons.entry.lifecycle().in_progress() == 1
     });
     wait_for("the call ends", || {
         daemons.entry.lifecycle().in_progress() == 0
     });
-    wait_for("the upstream is free", || {
+    wait_for("the sidecar is idle", || {
         daemons.sidecar.lifecycle().in_progress() == 0
     });
     drop(stream);
 }
 
 #[test]
-fn a_full_entry_refuses_at_once() {
+fn an_entry_at_its_request_limit_refuses_at_once() {
     let slow = EngineSettings {
         prefill: WAIT_TIMEOUT,
         ..EngineSettings::default()
@@ -231,7 +232,7 @@
     let (daemons, _engine) = start(slow, settings);
     let addr = daemons.addr();
     thread::spawn(move || post(addr, KEY, &completion(true)));
-    wait_for("a call is open", || {
+    wait_for("a call is in progress", || {
         daemons.sidecar.lifecycle().in_progress() == 1
     });
     let (status, text) = post_once(addr, KEY, &completion(true));
@@ -241,7 +242,7 @@
 }
 
 #[test]
-fn a_leaving_entry_says_so() {
+fn a_draining_entry_reports_that_it_drains() {
     let (daemons, _engine) = start(EngineSettings::default(), EntrySettings::default());
     daemons.entry.lifecycle().drain();
     let (status, text) = get(daemons.addr(), "/healthz");
@@ -258,7 +259,7 @@
 }
 
 #[test]
-fn every_process_shows_its_metrics_and_health() {
+fn every_process_exposes_metrics_and_health() {
     let (daemons, _engine) = start(EngineSettings::default(), EntrySettings::default());
     assert_eq!(post(daemons.addr(), KEY, &completion(false)).0, 200);
     let sidecar = daemons.sidecar.monitor_addr().expect("address");
--- a/crates/sapphirequayd/tests/common/cluster.rs
+++ b/crates/sapphirequayd/tests/common/cluster.rs
@@ -1,4 +1,5 @@
-//! Two entries before an engine and a service, and a caller.
+//! A cluster of two entries in front of an engine and a service, and requests
+//! to it.
 
 use {
     super::{CountingService, any_port, document, settings, sidecar_for_engine, wait_for},
@@ -11,7 +12,7 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// A request of a caller.
+/// A caller's HTTP request.
 #[derive(Debug, Clone, Copy)]
 pub struct TestRequest<'a> {
     pub method: &'a str,
@@ -34,7 +35,7 @@
 }
 
 impl TestRequest<'_> {
-    /// Sends the request once; `None` if the entry has gone.
+    /// Sends the request once; returns `None` if the entry has disconnected.
     pub fn try_send(&self, entry: SocketAddr) -> Option<(u16, String)> {
         let mut req = ureq::request(self.method, &format!("http://{entry}{}", self.path))
             .set("authorization", &format!("Bearer {}", self.account));
@@ -50,24 +51,25 @@
     }
 
     pub fn send(&self, entry: SocketAddr) -> (u16, String) {
-        self.try_send(entry).expect("answer")
+        self.try_send(entry).expect("response")
     }
 
-    /// Sends the request until the entry knows an upstream for it.
+    /// Sends the request, and repeats it while the entry knows no upstream for
+    /// it or has a stale configuration.
     pub fn send_when_known(&self, entry: SocketAddr) -> (u16, String) {
-        let mut answer = None;
-        wait_for("an upstream is known", || {
-            let got = self.send(entry);
+        let mut response = None;
+        wait_for("the entry knows an upstream", || {
+            let received = self.send(entry);
             let starting = ["no_upstream", "config_stale"];
-            let known = !starting.iter().any(|kind| got.1.contains(kind));
-            answer = Some(got);
+            let known = !starting.iter().any(|kind| received.1.contains(kind));
+            response = Some(received);
             known
         });
-        answer.expect("answer")
+        response.expect("response")
     }
 }
 
-/// The kind of an error answer.
+/// Kind of an error response.
 pub fn kind(text: &str) -> String {
     let json: Value = serde_json::from_str(text).unwrap_or_default();
     json["error"]["kind"]
@@ -76,13 +78,13 @@
         .to_owned()
 }
 
-/// A field of a JSON answer.
+/// Field of a JSON response.
 pub fn field(text: &str, name: &str) -> Value {
     let json: Value = serde_json::from_str(text).expect("json");
     json[name].clone()
 }
 
-/// One ledger, two entries, an engine and a service, each a daemon of its own.
+/// One ledger and two entries, and a sidecar each for an engine and a service.
 pub struct Cluster {
     pub entries: [SocketAddr; 2],
     pub service: CountingService,
--- a/crates/sapphirequayd/tests/common/counting_service.rs
+++ b/crates/sapphirequayd/tests/common/counting_service.rs
@@ -1,4 +1,4 @@
-//! A plain service that counts how often it runs each body.
+//! A plain service that counts how often it executes each request body.
 
 use {
     super::any_port,
@@ -19,7 +19,7 @@
 }
 
 impl CountingService {
-    /// A service that answers `delay` after it has run a request.
+    /// Starts a service that responds `delay` after it has executed a request.
     pub fn start(delay: Duration) -> Self {
         let listener = TcpListener::bind(any_port()).expect("port");
         let addr = listener.local_addr().expect("address");
@@ -50,7 +50,7 @@
         self.addr
     }
 
-    /// How often a body was run.
+    /// Number of times a body was executed.
     pub fn runs(&self, body: &str) -> u32 {
         let runs = self.runs.lock().expect("lock");
         runs.get(body).copied().unwrap_or_default()
--- a/crates/sapphirequayd/tests/common/mod.rs
+++ b/crates/sapphirequayd/tests/common/mod.rs
@@ -1,5 +1,10 @@
-//! Daemons of every role in one process, for tests over real sockets.
-#![allow(dead_code, unused_imports, reason = "each test file uses a part of it")]
+//! Helpers that run daemons of every role in the test process, over real
+//! sockets.
+#![allow(
+    dead_code,
+    unused_imports,
+    reason = "each test file uses only some of the helpers"
+)]
 
 mod cluster;
 mod counting_service;
@@ -29,18 +34,18 @@
     },
 };
 
-/// Longest wait for anything that has to come to pass.
+/// Longest wait for an expected condition.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Bearer key of the only account.
 pub const KEY: &str = "k";
 
-/// An address whose port the system picks.
+/// Loopback address with a port chosen by the system.
 pub fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// A first configuration document with accounts, by name and key.
+/// Initial configuration document with accounts, given by name and key.
 pub fn document(accounts: &[(&str, &str)]) -> String {
     let accounts = accounts.iter().map(|(name, key)| {
         let digest = KeyDigest::of(key);
@@ -54,7 +59,7 @@
     )
 }
 
-/// Settings of one process without a role.
+/// Settings of a process without a role.
 pub fn settings(name: &str, ledgers: &[SocketAddr]) -> Settings {
     Settings {
         process: ProcessSettings {
@@ -71,7 +76,7 @@
     }
 }
 
-/// Every role, each as a daemon of its own, before one upstream.
+/// One daemon per role, in front of one upstream.
 pub struct Daemons {
     pub entry: Daemon,
     pub ledger: Daemon,
@@ -80,7 +85,7 @@
 }
 
 impl Daemons {
-    /// Starts the roles before the upstream that `sidecar` names.
+    /// Starts the daemons in front of the upstream named by `sidecar`.
     pub fn start(sidecar: SidecarSettings, entry: EntrySettings) -> Self {
         let keys = DevelopmentKeys::generate().expect("keys");
         let identity = |role| keys.identity(role).expect("identity");
@@ -115,13 +120,14 @@
         daemons
     }
 
-    /// Address for callers.
+    /// Address on which the entry serves callers.
     pub fn addr(&self) -> SocketAddr {
         self.entry.callers_addr().expect("address")
     }
 }
 
-/// A sidecar's settings before the engine at `addr`, which serves model `m`.
+/// Settings of a sidecar in front of the engine at `addr`, which serves model
+/// `m`.
 pub fn sidecar_for_engine(addr: SocketAddr) -> SidecarSettings {
     SidecarSettings {
         upstream: "engine-1".into(),
@@ -132,17 +138,18 @@
     }
 }
 
-/// A stand-in engine on a port of its own.
+/// Starts a stand-in engine on a port chosen by the system.
 pub fn engine(settings: EngineSettings) -> Engine {
     Engine::start(any_port(), settings).expect("engine")
 }
 
-/// A request for a completion.
+/// Body of a chat completion request.
 pub fn completion(stream: bool) -> String {
     format!(r#"{{"model":"m","stream":{stream},"messages":[{{"role":"user","content":"hi"}}]}}"#)
 }
 
-/// Posts `body` until an upstream is known; the answer's status and text.
+/// Posts `body`, and repeats it while the entry knows no upstream or has a
+/// stale configuration. Returns the response's status and text.
 pub fn post(addr: SocketAddr, key: &str, body: &str) -> (u16, String) {
     let started = Instant::now();
     loop {
@@ -155,7 +162,7 @@
     }
 }
 
-/// Posts `body`; the answer's status and text.
+/// Posts `body` once. Returns the response's status and text.
 pub fn post_once(addr: SocketAddr, key: &str, body: &str) -> (u16, String) {
     let response = ureq::post(&format!("http://{addr}/v1/chat/completions"))
         .set("authorization", &format!("Bearer {key}"))
@@ -163,12 +170,12 @@
     read(response)
 }
 
-/// Gets `path`; the answer's status and text.
+/// Requests `path`. Returns the response's status and text.
 pub fn get(addr: SocketAddr, path: &str) -> (u16, String) {
     read(ureq::get(&format!("http://{addr}{path}")).call())
 }
 
-/// Status and text of an answer.
+/// Status and text of a response.
 fn read(response: Result<ureq::Response, ureq::Error>) -> (u16, String) {
     let (status, response) = match response {
         Ok(response) => (response.status(), response),
@@ -178,7 +185,7 @@
     (status, response.into_string().expect("text"))
 }
 
-/// The texts of a streamed answer's deltas, joined.
+/// Concatenated texts of a streamed response's deltas.
 pub fn streamed_text(events: &str) -> String {
     events
         .lines()
@@ -192,19 +199,19 @@
         .collect()
 }
 
-/// Waits until `done` says so.
-pub fn wait_for(what: &str, mut done: impl FnMut() -> bool) {
+/// Waits until `done` returns true; `condition` states the expected condition.
+pub fn wait_for(condition: &str, mut done: impl FnMut() -> bool) {
     let started = Instant::now();
     while !done() {
         assert!(
             started.elapsed() < WAIT_TIMEOUT,
-            "{what} did not come to pass"
+            "condition not met in time: {condition}"
         );
         thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// A raw connection on which waits are bounded.
+/// Opens a raw connection with a read time-out.
 pub fn connect(addr: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(addr).expect("connection");
     stream
@@ -213,15 +220,19 @@
     stream
 }
 
-/// Sends `bytes` and reads until the peer closes; an error counts as closed.
+/// Sends `bytes` and reads until the peer closes the connection or an error
+/// occurs.
 pub fn exchange(stream: &mut TcpStream, bytes: &[u8]) -> String {
     let _ = stream.write_all(bytes);
     let mut text = Vec::new();
-    let mut piece = [0; 4096];
+    let mut buf = [0; 4096];
     let started = Instant::now();
-    while let Ok(read @ 1..) = stream.read(&mut piece) {
-        text.extend_from_slice(&piece[..read]);
+    while let Ok(read @ 1..) = stream.read(&mut buf) {
+        text.extend_from_slice(&buf[..read]);
     }
-    assert!(started.elapsed() < WAIT_TIMEOUT, "the peer did not close");
+    assert!(
+        started.elapsed() < WAIT_TIMEOUT,
+        "the peer did not close the connection"
+    );
     String::from_utf8_lossy(&text).into_owned()
 }
--- a/crates/sapphirequayd/tests/programs.rs
+++ b/crates/sapphirequayd/tests/programs.rs
@@ -1,4 +1,5 @@
-//! Programs over real sockets: order, replay, grants, limits, owners.
+//! Programs over real sockets: call order, replay, budget grants, limits and
+//! ownership.
 
 mod common;
 
@@ -8,7 +9,8 @@
     std::{net::SocketAddr, thread, time::Duration},
 };
 
-const TURN: &str = r#"{"model":"m","max_tokens":4,"messages":[{"role":"user","content":"hi"}]}"#;
+const CALL_BODY: &str =
+    r#"{"model":"m","max_tokens":4,"messages":[{"role":"user","content":"hi"}]}"#;
 
 /// Creates a program and returns its id.
 fn create(entry: SocketAddr, key: &str, body: &str) -> String {
@@ -35,8 +37,8 @@
     text
 }
 
-/// Makes call `number` of a program.
-fn turn(entry: SocketAddr, program: &str, number: &str) -> (u16, String) {
+/// Sends call `number` of a program.
+fn send_call(entry: SocketAddr, program: &str, number: &str) -> (u16, String) {
     let key = format!("{program}-{number}");
     TestRequest {
         headers: &[
@@ -44,28 +46,30 @@
             ("Sapphirequay-Call", number),
             ("Idempotency-Key", &key),
         ],
-        body: TURN,
+        body: CALL_BODY,
         ..TestRequest::default()
     }
     .send(entry)
 }
 
-/// An answer without the time at which it was written.
-fn timeless(text: &str) -> serde_json::Value {
-    let mut answer: serde_json::Value = serde_json::from_str(text).expect("json");
-    let created = answer.as_object_mut().and_then(|it| it.remove("created"));
+/// Response without its `created` time.
+fn without_created(text: &str) -> serde_json::Value {
+    let mut response: serde_json::Value = serde_json::from_str(text).expect("json");
+    let created = response
+        .as_object_mut()
+        .and_then(|object| object.remove("created"));
     assert!(created.is_some(), "{text}");
-    answer
+    response
 }
 
 #[test]
-fn a_program_pauses_for_a_tool_and_grants_a_sub_agent() {
+fn a_program_calls_a_tool_and_grants_a_sub_agent_budget() {
     let cluster = Cluster::start(Duration::ZERO);
     let [one, two] = cluster.entries;
     let root = create(one, "k", r#"{"budget_tokens":1000}"#);
     assert_eq!(create(two, "k", r#"{"budget_tokens":1000}"#), root);
 
-    let (status, first) = turn(one, &root, "1");
+    let (status, first) = send_call(one, &root, "1");
     assert_eq!(status, 200, "{first}");
     let tool = TestRequest {
         path: "/v1/services/orders",
@@ -80,12 +84,12 @@
     let (status, ordered) = tool.send(two);
     assert_eq!((status, &*ordered), (200, "12 crates run 1"));
     // The next turn comes by the other entry.
-    assert_eq!(turn(two, &root, "3").0, 200);
+    assert_eq!(send_call(two, &root, "3").0, 200);
 
     let grant = format!(r#"{{"parent":"{root}","budget_tokens":600}}"#);
     let child = create(two, "grant", &grant);
     assert_eq!(child, format!("{root}.1"));
-    assert_eq!(turn(one, &child, "1").0, 200);
+    assert_eq!(send_call(one, &child, "1").0, 200);
     let too_much = format!(r#"{{"parent":"{root}","budget_tokens":900}}"#);
     let refused = TestRequest {
         path: "/v1/programs",
@@ -95,9 +99,12 @@
     .send(one);
     assert_eq!((refused.0, &*kind(&refused.1)), (402, "budget_exceeded"));
 
-    // A resend at either entry gets the recorded answers.
-    let again = turn(two, &root, "1");
-    assert_eq!((again.0, timeless(&again.1)), (200, timeless(&first)));
+    // A resend to either entry gets the recorded response.
+    let again = send_call(two, &root, "1");
+    assert_eq!(
+        (again.0, without_created(&again.1)),
+        (200, without_created(&first))
+    );
     assert_eq!(tool.send(one), (200, ordered));
     assert_eq!(cluster.service.runs("12 crates"), 1);
 
@@ -116,7 +123,7 @@
     assert_eq!(delete.send(one).0, 200);
     assert_eq!(field(&show(two, &child), "ended"), true);
     assert_eq!(field(&show(two, &root), "reserved_tokens"), 0);
-    let late = turn(one, &root, "4");
+    let late = send_call(one, &root, "4");
     assert_eq!((late.0, &*kind(&late.1)), (410, "program_ended"));
 }
 
@@ -127,7 +134,7 @@
     let program = create(one, "ordered", "");
     let early = {
         let program = program.clone();
-        thread::spawn(move || turn(two, &program, "2"))
+        thread::spawn(move || send_call(two, &program, "2"))
     };
     thread::sleep(Duration::from_millis(100));
     assert_eq!(
@@ -136,7 +143,7 @@
             .map(Vec::len),
         Some(0)
     );
-    assert_eq!(turn(one, &program, "1").0, 200);
+    assert_eq!(send_call(one, &program, "1").0, 200);
     let (status, text) = early.join().expect("thread");
     assert_eq!(status, 200, "{text}");
     let calls = field(&show(one, &program), "calls");
@@ -147,7 +154,7 @@
 }
 
 #[test]
-fn resends_that_come_together_run_once() {
+fn concurrent_resends_run_once() {
     let cluster = Cluster::start(Duration::from_millis(700));
     let sends: Vec<_> = (0..6)
         .map(|slot| {
@@ -167,8 +174,8 @@
         })
         .collect();
     for sent in sends {
-        let answer = sent.join().expect("thread");
-        assert_eq!(answer, (200, "one truck run 1".to_owned()));
+        let response = sent.join().expect("thread");
+        assert_eq!(response, (200, "one truck run 1".to_owned()));
     }
     let other = TestRequest {
         path: "/v1/services/orders",
@@ -184,7 +191,7 @@
 }
 
 #[test]
-fn a_program_over_its_accounts_limits_is_told_which() {
+fn a_program_over_an_account_limit_gets_the_limit_in_the_error() {
     let cluster = Cluster::start(Duration::ZERO);
     let (status, text) = TestRequest {
         path: "/v1/programs",
@@ -200,7 +207,7 @@
 }
 
 #[test]
-fn refusals_change_nothing() {
+fn refused_requests_change_nothing() {
     let cluster = Cluster::start(Duration::ZERO);
     let [one, two] = cluster.entries;
     let program = create(one, "small", r#"{"budget_tokens":10}"#);
@@ -240,13 +247,13 @@
         "bad_request"
     );
     for method in ["GET", "DELETE"] {
-        let strange = TestRequest {
+        let foreign = TestRequest {
             method,
             path: &path,
             account: "key-b",
             ..TestRequest::default()
         };
-        assert_eq!(kind(&strange.send(two).1), "forbidden");
+        assert_eq!(kind(&foreign.send(two).1), "forbidden");
     }
     let wrong = TestRequest {
         path: "/v1/programs",
@@ -254,18 +261,18 @@
         ..TestRequest::default()
     };
     assert_eq!(kind(&wrong.send(two).1), "bad_request");
-    let grab = format!(r#"{{"parent":"{program}","budget_tokens":1}}"#);
-    let grab = TestRequest {
+    let foreign_grant = format!(r#"{{"parent":"{program}","budget_tokens":1}}"#);
+    let foreign_grant = TestRequest {
         path: "/v1/programs",
         account: "key-b",
-        body: &grab,
+        body: &foreign_grant,
         ..TestRequest::default()
     };
-    assert_eq!(kind(&grab.send(two).1), "forbidden");
+    assert_eq!(kind(&foreign_grant.send(two).1), "forbidden");
     assert_eq!(show(one, &program), before);
 }
 
-/// Blocks in the engine's prefix cache.
+/// Number of blocks in the engine's prefix cache.
 fn cached_blocks(cluster: &Cluster) -> usize {
     let url = format!("http://{}/v1/cache/snapshot", cluster.engine.addr());
     let text = ureq::get(&url)
@@ -278,7 +285,7 @@
 }
 
 #[test]
-fn engine_memory_of_an_ended_program_is_released() {
+fn cached_blocks_of_an_ended_program_are_released() {
     let engine = EngineSettings {
         model: Some(ModelSettings::default()),
         ..EngineSettings::default()
@@ -287,7 +294,7 @@
     let [one, _] = cluster.entries;
     let program = create(one, "long", r#"{"budget_tokens":100000}"#);
     let prompt = "a long history of one shop ".repeat(100);
-    let body = TURN.replace(r#""hi""#, &format!("{prompt:?}"));
+    let body = CALL_BODY.replace(r#""hi""#, &format!("{prompt:?}"));
     let call = TestRequest {
         headers: &[("Sapphirequay-Program", &program)],
         body: &body,
@@ -298,14 +305,16 @@
     thread::sleep(Duration::from_secs(1));
     assert!(
         cached_blocks(&cluster) >= 10,
-        "a program under way keeps its memory"
+        "a running program keeps its cached blocks"
     );
 
-    // Nobody tells the sidecar: its sweep finds out.
+    // The sidecar is not notified; its periodic sweep detects the end.
     let path = format!("/v1/programs/{program}");
     let end = ureq::delete(&format!("http://{one}{path}"));
     end.set("authorization", "Bearer key-a")
         .call()
         .expect("end");
-    wait_for("the memory is released", || cached_blocks(&cluster) == 0);
+    wait_for("the cached blocks are released", || {
+        cached_blocks(&cluster) == 0
+    });
 }
--- a/crates/sapphirequayd/tests/stream_tracker.rs
+++ b/crates/sapphirequayd/tests/stream_tracker.rs
@@ -1,4 +1,5 @@
-//! The tracker passes each token on once and in order, whatever connections do.
+//! The stream tracker forwards each token once and in order despite connection
+//! faults.
 
 use {
     proptest::prelude::*,
@@ -7,20 +8,20 @@
     std::time::Duration,
 };
 
-/// What goes wrong on a connection after some of its events.
+/// Fault of a connection after some of its events.
 #[derive(Debug, Clone)]
 enum Fault {
-    Silent,
+    ReadTimeout,
     Broken,
-    /// Events from so many tokens back come again.
+    /// Events are repeated from this many tokens back.
     Repeats(u64),
-    /// So many events are skipped.
+    /// This many events are skipped.
     Skips(u64),
 }
 
 fn fault() -> impl Strategy<Value = Fault> {
     prop_oneof![
-        Just(Fault::Silent),
+        Just(Fault::ReadTimeout),
         Just(Fault::Broken),
         (1..5_u64).prop_map(Fault::Repeats),
         (1..5_u64).prop_map(Fault::Skips),
@@ -53,19 +54,19 @@
 
 proptest! {
     #[test]
-    fn the_answer_has_neither_gap_nor_repeat(
+    fn the_response_has_neither_gaps_nor_repeats(
         tokens in 1..60_u64,
         faults in prop::collection::vec((1..12_u64, fault()), 0..12),
     ) {
         let mut tracker = StreamTracker::new(settings(), Time::ZERO);
         let mut faults = faults.into_iter();
-        let mut answer = String::new();
+        let mut response = String::new();
         let mut next = 1_u64;
-        let (mut until, mut fault) = faults.next().unwrap_or((u64::MAX, Fault::Silent));
+        let (mut until, mut fault) = faults.next().unwrap_or((u64::MAX, Fault::ReadTimeout));
         for _ in 0..1_000 {
-            let input = if until == 0 {
-                let input = match fault {
-                    Fault::Silent => UpstreamEvent::ReadTimeout,
+            let event = if until == 0 {
+                let event = match fault {
+                    Fault::ReadTimeout => UpstreamEvent::ReadTimeout,
                     Fault::Broken => UpstreamEvent::Broken,
                     Fault::Repeats(back) => {
                         next = next.saturating_sub(back).max(1);
@@ -76,29 +77,29 @@
                         token(next)
                     }
                 };
-                (until, fault) = faults.next().unwrap_or((u64::MAX, Fault::Silent));
-                input
+                (until, fault) = faults.next().unwrap_or((u64::MAX, Fault::ReadTimeout));
+                event
             } else if next > tokens {
                 end(tokens)
             } else {
                 token(next)
             };
             until = until.saturating_sub(1);
-            match tracker.handle(Time::ZERO, input) {
+            match tracker.handle(Time::ZERO, event) {
                 StreamAction::Forward { offset, text, tokens } => {
-                    prop_assert_eq!(offset, answer.len() as u64);
+                    prop_assert_eq!(offset, response.len() as u64);
                     prop_assert_eq!(tokens, 1);
-                    answer.push_str(&text);
+                    response.push_str(&text);
                     next += 1;
                 }
                 StreamAction::Read => next += 1,
                 StreamAction::Resume(seen) => next = seen + 1,
                 StreamAction::End(..) => {
-                    let whole: String = (1..=tokens).map(word).collect();
-                    prop_assert_eq!(answer, whole);
+                    let expected: String = (1..=tokens).map(word).collect();
+                    prop_assert_eq!(response, expected);
                     return Ok(());
                 }
-                // Connections that break too often end the attempt.
+                // Too many broken connections in a row end the attempt.
                 StreamAction::Fail(err) => {
                     prop_assert_eq!(err.kind, ErrorKind::UpstreamLost);
                     return Ok(());
@@ -106,17 +107,17 @@
                 other => prop_assert!(false, "{:?}", other),
             }
         }
-        prop_assert!(false, "the attempt does not end");
+        prop_assert!(false, "the attempt did not end");
     }
 
     #[test]
-    fn the_answer_never_passes_its_reservation(limit in 1..20_u64, tokens in 1..40_u64) {
+    fn the_response_never_exceeds_its_reservation(limit in 1..20_u64, tokens in 1..40_u64) {
         let settings = StreamTrackerSettings { max_output: Tokens(limit), ..settings() };
         let mut tracker = StreamTracker::new(settings, Time::ZERO);
-        let mut passed = 0;
+        let mut forwarded = 0;
         for position in 1..=tokens {
             match tracker.handle(Time::ZERO, token(position)) {
-                StreamAction::Forward { tokens, .. } => passed += u64::from(tokens),
+                StreamAction::Forward { tokens, .. } => forwarded += u64::from(tokens),
                 StreamAction::Truncate(usage) => {
                     prop_assert_eq!(usage.output, Tokens(limit));
                     break;
@@ -124,22 +125,22 @@
                 other => prop_assert!(false, "{:?}", other),
             }
         }
-        prop_assert_eq!(passed, tokens.min(limit));
+        prop_assert_eq!(forwarded, tokens.min(limit));
     }
 }
 
 #[test]
-fn a_connection_refused_at_first_is_not_run() {
+fn an_initial_connection_failure_means_not_run() {
     let mut tracker = StreamTracker::new(settings(), Time::ZERO);
-    let step = tracker.handle(Time::ZERO, UpstreamEvent::Unreachable);
+    let action = tracker.handle(Time::ZERO, UpstreamEvent::Unreachable);
     assert!(
-        matches!(&step, StreamAction::NotRun(err) if err.kind.not_run()),
-        "{step:?}"
+        matches!(&action, StreamAction::NotRun(err) if err.kind.not_run()),
+        "{action:?}"
     );
 }
 
 #[test]
-fn a_connection_refused_later_may_have_run() {
+fn a_later_connection_failure_may_have_run() {
     for (idempotent, kind) in [
         (true, ErrorKind::UpstreamLost),
         (false, ErrorKind::OutcomeUnknown),
@@ -151,17 +152,17 @@
             };
             let mut tracker = StreamTracker::new(settings, Time::ZERO);
             let _ = tracker.handle(Time::ZERO, first.clone());
-            let step = tracker.handle(Time::ZERO, UpstreamEvent::Unreachable);
+            let action = tracker.handle(Time::ZERO, UpstreamEvent::Unreachable);
             assert!(
-                matches!(&step, StreamAction::Fail(err) if err.kind == kind),
-                "after {first:?}: {step:?}"
+                matches!(&action, StreamAction::Fail(err) if err.kind == kind),
+                "after {first:?}: {action:?}"
             );
         }
     }
 }
 
 #[test]
-fn a_request_that_got_lost_is_repeated_once_if_idempotent() {
+fn an_unknown_stream_is_resent_once_if_idempotent() {
     let mut tracker = StreamTracker::new(settings(), Time::ZERO);
     assert_eq!(
         tracker.handle(Time::ZERO, UpstreamEvent::ReadTimeout),
@@ -171,23 +172,23 @@
         tracker.handle(Time::ZERO, UpstreamEvent::Unknown),
         StreamAction::Resend
     );
-    let step = tracker.handle(Time::ZERO, UpstreamEvent::Unknown);
-    assert!(matches!(step, StreamAction::Fail(_)), "{step:?}");
+    let action = tracker.handle(Time::ZERO, UpstreamEvent::Unknown);
+    assert!(matches!(action, StreamAction::Fail(_)), "{action:?}");
 
-    let once = StreamTrackerSettings {
+    let not_idempotent = StreamTrackerSettings {
         idempotent: false,
         ..settings()
     };
-    let mut tracker = StreamTracker::new(once, Time::ZERO);
-    let step = tracker.handle(Time::ZERO, UpstreamEvent::Unknown);
+    let mut tracker = StreamTracker::new(not_idempotent, Time::ZERO);
+    let action = tracker.handle(Time::ZERO, UpstreamEvent::Unknown);
     assert!(
-        matches!(&step, StreamAction::Fail(err) if err.kind == ErrorKind::OutcomeUnknown),
-        "{step:?}"
+        matches!(&action, StreamAction::Fail(err) if err.kind == ErrorKind::OutcomeUnknown),
+        "{action:?}"
     );
 }
 
 #[test]
-fn a_quiet_upstream_is_given_up_within_its_limit() {
+fn an_upstream_without_tokens_fails_after_the_token_timeout() {
     let mut tracker = StreamTracker::new(settings(), Time::ZERO);
     let limit = settings().token_timeout;
     let early = tracker.handle(Time::ZERO + limit / 2, UpstreamEvent::ReadTimeout);
@@ -203,15 +204,15 @@
         ..settings()
     };
     let mut tracker = StreamTracker::new(settings, Time::ZERO);
-    let step = tracker.handle(Time::from_millis(10), token(1));
+    let action = tracker.handle(Time::from_millis(10), token(1));
     assert!(
-        matches!(&step, StreamAction::Fail(err) if err.kind == ErrorKind::DeadlineExceeded),
-        "{step:?}"
+        matches!(&action, StreamAction::Fail(err) if err.kind == ErrorKind::DeadlineExceeded),
+        "{action:?}"
     );
 }
 
 #[test]
-fn an_end_before_its_last_token_is_not_believed() {
+fn an_end_event_with_missing_tokens_resumes_the_stream() {
     let mut tracker = StreamTracker::new(settings(), Time::ZERO);
     let _ = tracker.handle(Time::ZERO, token(1));
     assert_eq!(
--- a/crates/sapphirequayd/tests/upstreams.rs
+++ b/crates/sapphirequayd/tests/upstreams.rs
@@ -1,4 +1,5 @@
-//! Engines that fall silent, die, answer too much or are no longer wanted.
+//! Engines that stall, crash, or run calls that are cancelled, and upstream
+//! health.
 
 mod common;
 
@@ -24,7 +25,7 @@
     (daemons, engine)
 }
 
-/// An engine whose answers last a few seconds.
+/// Settings of an engine whose responses take two seconds.
 fn slow() -> EngineSettings {
     EngineSettings {
         token_gap: Duration::from_millis(20),
@@ -33,26 +34,26 @@
     }
 }
 
-/// Posts a streamed completion on a thread.
-fn post_aside(addr: SocketAddr) -> thread::JoinHandle<(u16, String)> {
+/// Posts a streamed completion on another thread.
+fn post_in_background(addr: SocketAddr) -> thread::JoinHandle<(u16, String)> {
     thread::spawn(move || post(addr, KEY, &completion(true)))
 }
 
-fn whole(tokens: u64) -> String {
+fn expected_text(tokens: u64) -> String {
     let words: Vec<_> = (0..tokens).map(|number| format!("word{number} ")).collect();
     words.concat()
 }
 
 #[test]
-fn a_silent_connection_is_resumed_without_gap_or_repeat() {
+fn a_stalled_connection_is_resumed_without_gaps_or_repeats() {
     let (daemons, engine) = start(slow());
-    let caller = post_aside(daemons.addr());
-    wait_for("the answer begins", || engine.counts().running == 1);
+    let caller = post_in_background(daemons.addr());
+    wait_for("the response starts", || engine.counts().running == 1);
     thread::sleep(Duration::from_millis(300));
     engine.silence();
     let (status, text) = caller.join().expect("caller");
     assert_eq!(status, 200);
-    assert_eq!(streamed_text(&text), whole(100));
+    assert_eq!(streamed_text(&text), expected_text(100));
     assert!(text.contains(": heartbeat"), "{text}");
     assert!(text.ends_with("data: [DONE]\n\n"), "{text}");
     assert_eq!(engine.counts().started, 1);
@@ -60,16 +61,16 @@
 }
 
 #[test]
-fn a_dying_engine_ends_its_answers_and_is_announced_as_failing() {
+fn a_crashed_engine_fails_its_calls_and_is_announced_as_failing() {
     let (daemons, engine) = start(slow());
-    let callers: Vec<_> = (0..4).map(|_| post_aside(daemons.addr())).collect();
-    wait_for("the answers begin", || engine.counts().running == 4);
+    let callers: Vec<_> = (0..4).map(|_| post_in_background(daemons.addr())).collect();
+    wait_for("the responses start", || engine.counts().running == 4);
     engine.crash();
     for caller in callers {
         let (status, text) = caller.join().expect("caller");
         assert!(text.contains("upstream_lost"), "status {status}: {text}");
     }
-    wait_for("the upstream is out", || {
+    wait_for("the upstream is excluded", || {
         let (status, text) = post_once(daemons.addr(), KEY, &completion(true));
         status == 503 && text.contains("no_upstream")
     });
@@ -81,16 +82,16 @@
 }
 
 #[test]
-fn an_engine_that_does_not_listen_is_a_true_not_run() {
+fn an_engine_that_does_not_listen_is_reported_as_not_run() {
     let engine = engine(EngineSettings::default());
     let addr = engine.addr();
     drop(engine);
-    // The port is free once the listener is closed.
-    wait_for("the listener closes", || {
+    // Connections fail only once the listener is closed.
+    wait_for("the listener is closed", || {
         std::net::TcpStream::connect(addr).is_err()
     });
     let daemons = Daemons::start(sidecar_for_engine(addr), EntrySettings::default());
-    wait_for("the sidecar is known", || {
+    wait_for("the entry knows the sidecar", || {
         let (status, text) = post_once(daemons.addr(), KEY, &completion(true));
         assert_eq!(status, 503, "{text}");
         assert!(text.contains(r#""not_run":true"#), "{text}");
@@ -100,12 +101,12 @@
 }
 
 #[test]
-fn an_entry_that_gives_a_call_up_stops_the_engine() {
-    let endless = EngineSettings {
+fn a_passed_deadline_cancels_the_stream_on_the_engine() {
+    let long_response = EngineSettings {
         answer_tokens: 100_000,
         ..slow()
     };
-    let (daemons, engine) = start(endless);
+    let (daemons, engine) = start(long_response);
     let short = completion(false).replace("false", "false,\"max_tokens\":1");
     assert_eq!(post(daemons.addr(), KEY, &short).0, 200);
     let body = completion(true).replace("true", "true,\"max_tokens\":100000");
@@ -113,13 +114,15 @@
         .set("authorization", &format!("Bearer {KEY}"))
         .set("sapphirequay-deadline-ms", "500")
         .send_string(&body);
-    let text = sent.expect("answer").into_string().expect("text");
+    let text = sent.expect("response").into_string().expect("text");
     assert!(text.contains("deadline_exceeded"), "{text}");
-    wait_for("the engine is told", || engine.counts().cancelled == 1);
+    wait_for("the engine cancels the stream", || {
+        engine.counts().cancelled == 1
+    });
 }
 
 #[test]
-fn a_call_outlives_its_caller() {
+fn a_call_continues_after_its_caller_disconnects() {
     let (daemons, engine) = start(slow());
     let mut stream = common::connect(daemons.addr());
     wait_for("the entry knows the upstream", || {
@@ -134,20 +137,20 @@
     );
     stream.write_all(head.as_bytes()).expect("head");
     stream.write_all(body.as_bytes()).expect("body");
-    let mut piece = [0; 256];
-    assert!(stream.read(&mut piece).expect("answer") > 0);
+    let mut buf = [0; 256];
+    assert!(stream.read(&mut buf).expect("response") > 0);
     stream.shutdown(Shutdown::Both).expect("shutdown");
     let again = ureq::post(&format!("http://{}/v1/chat/completions", daemons.addr()))
         .set("authorization", &format!("Bearer {KEY}"))
         .set("idempotency-key", "once")
         .send_string(&body);
-    let text = again.expect("answer").into_string().expect("text");
-    assert_eq!(streamed_text(&text), whole(100));
+    let text = again.expect("response").into_string().expect("text");
+    assert_eq!(streamed_text(&text), expected_text(100));
     assert_eq!(engine.counts().started, 2, "the call ran once");
 }
 
 #[test]
-fn a_poison_prompt_kills_the_engine_and_is_told_as_lost() {
+fn a_prompt_that_crashes_the_engine_is_reported_as_lost() {
     let settings = EngineSettings {
         poison: Some("hi".into()),
         ..slow()
@@ -159,7 +162,7 @@
 }
 
 #[test]
-fn a_few_failures_take_an_upstream_out_and_good_probes_bring_it_back() {
+fn failures_exclude_an_upstream_and_successful_probes_readmit_it() {
     let mut health = Health::new(HealthSettings::default());
     let at = Time::from_millis;
     for second in 0..3 {
@@ -177,7 +180,7 @@
 }
 
 #[test]
-fn failures_among_many_successes_are_forgiven() {
+fn occasional_failures_do_not_exclude_an_upstream() {
     let mut health = Health::new(HealthSettings::default());
     for number in 0..100 {
         health.record_outcome(Time::from_millis(number * 10), number % 5 != 0);
@@ -186,10 +189,10 @@
 }
 
 #[test]
-fn an_upstream_that_fails_again_stays_out_longer() {
+fn repeated_failures_exclude_an_upstream_for_longer() {
     let mut health = Health::new(HealthSettings::default());
     let mut now = Time::ZERO;
-    let mut holds = Vec::new();
+    let mut exclusions = Vec::new();
     for _ in 0..4 {
         for _ in 0..3 {
             health.record_outcome(now, false);
@@ -201,8 +204,8 @@
                 health.record_probe(now, true);
             }
         }
-        holds.push(now.since(since));
+        exclusions.push(now.since(since));
     }
-    assert!(holds.is_sorted(), "{holds:?}");
-    assert!(holds[3] > holds[0] * 2, "{holds:?}");
+    assert!(exclusions.is_sorted(), "{exclusions:?}");
+    assert!(exclusions[3] > exclusions[0] * 2, "{exclusions:?}");
 }
--- a/crates/sapphirequayd/tests/whole_path.rs
+++ b/crates/sapphirequayd/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! A call over real sockets: caller, entry, sidecar, engine and back.
+//! End-to-end calls over real sockets through entry, sidecar and engine.
 
 mod common;
 
@@ -15,7 +15,7 @@
     (daemons, engine)
 }
 
-/// The events of a streamed answer.
+/// Data events of a streamed response.
 fn events(text: &str) -> Vec<Value> {
     text.lines()
         .filter_map(|line| line.strip_prefix("data: "))
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_whole_answer_has_the_common_shape() {
+fn a_complete_response_has_the_chat_completion_format() {
     let (daemons, _engine) = start();
     let (status, text) = post(daemons.addr(), KEY, &completion(false));
     assert_eq!(status, 200, "{text}");
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_streamed_answer_has_the_common_shape_and_a_checked_end() {
+fn a_streamed_response_has_the_chunk_format_and_a_checksum() {
     let (daemons, _engine) = start();
     let (status, text) = post(daemons.addr(), KEY, &completion(true));
     assert_eq!(status, 200);
@@ -54,15 +54,15 @@
     assert_eq!(events.len(), 18, "role, 16 deltas, end: {text}");
     let last = events.last().expect("end");
     assert_eq!(last["choices"][0]["finish_reason"], "stop");
-    let answer = streamed_text(&text);
-    assert_eq!(last["sapphirequay"]["bytes"], answer.len());
-    let checksum = format!("{:08x}", crc32fast::hash(answer.as_bytes()));
+    let response = streamed_text(&text);
+    assert_eq!(last["sapphirequay"]["bytes"], response.len());
+    let checksum = format!("{:08x}", crc32fast::hash(response.as_bytes()));
     assert_eq!(last["sapphirequay"]["crc32"], checksum.as_str());
-    assert!(!text.contains(r#""usage""#), "usage was not asked for");
+    assert!(!text.contains(r#""usage""#), "usage was not requested");
 }
 
 #[test]
-fn a_stream_tells_its_usage_if_asked() {
+fn a_stream_reports_usage_on_request() {
     let (daemons, _engine) = start();
     let body = r#"{"model":"m","stream":true,"stream_options":{"include_usage":true},
         "messages":[{"role":"user","content":"hi"}]}"#;
