--- a/crates/sapphirequayd/src/process/actor.rs
+++ b/crates/sapphirequayd/src/process/actor.rs
@@ -1,4 +1,4 @@
-//! Runs a decision machine as an actor on a thread of its own.
+//! Actors: state owned by a dedicated thread and driven by messages and ticks.
 
 use {
     crate::process::Clock,
@@ -12,26 +12,27 @@
     },
 };
 
-/// A machine that decides: messages and time go in, answers leave through
-/// channels that the messages carry. It must not block.
+/// State driven by messages and ticks. Replies are sent through the channels
+/// that the messages carry. No method may block, since all messages to an actor
+/// are handled by one thread.
 pub trait Actor: Send + 'static {
-    /// What the machine is told.
+    /// Messages that the actor handles.
     type Msg: Send + 'static;
 
     /// Interval between ticks.
     const TICK: Duration;
 
-    /// Takes one message.
+    /// Handles one message.
     fn handle(&mut self, now: Time, msg: Self::Msg);
 
-    /// Does what is due.
+    /// Performs the work that is due at `now`; called every [`Actor::TICK`].
     fn tick(&mut self, now: Time);
 
-    /// Finishes a burst of messages, or a tick.
+    /// Called after each batch of messages and after each tick.
     fn after_batch(&mut self, _now: Time) {}
 }
 
-/// Sends messages to a machine; clones reach the same machine.
+/// Sends messages to an actor; clones reach the same actor.
 pub struct Mailbox<M>(mpsc::Sender<M>);
 
 impl<M> fmt::Debug for Mailbox<M> {
@@ -47,14 +48,14 @@
 }
 
 impl<M> Mailbox<M> {
-    /// Sends a message. A machine that has stopped drops it.
+    /// Sends a message. The message is dropped if the actor has stopped.
     pub fn send(&self, msg: M) {
         let _ = self.0.send(msg);
     }
 
-    /// Sends a message that carries an answer channel and waits for the answer.
+    /// Sends a message that carries a reply channel and waits for the reply.
     ///
-    /// `None` if the machine has stopped.
+    /// Returns `None` if the actor has stopped.
     pub fn ask<T>(&self, msg: impl FnOnce(mpsc::SyncSender<T>) -> M) -> Option<T> {
         let (tx, rx) = mpsc::sync_channel(1);
         self.send(msg(tx));
@@ -62,62 +63,62 @@
     }
 }
 
-/// The actor around a machine.
-struct Shell<A> {
-    machine: A,
+/// Adapts an [`Actor`] to the Stakker runtime.
+struct StakkerActor<A> {
+    state: A,
     clock: Clock,
 }
 
-impl<A: Actor> Shell<A> {
-    #[allow(clippy::unnecessary_wraps)] // `actor!` expects an option.
-    fn init(cx: CX![], machine: A, clock: Clock) -> Option<Self> {
+impl<A: Actor> StakkerActor<A> {
+    #[allow(clippy::unnecessary_wraps)] // `actor!` expects an `Option`.
+    fn init(cx: CX![], state: A, clock: Clock) -> Option<Self> {
         after!(A::TICK, [cx], tick());
-        Some(Self { machine, clock })
+        Some(Self { state, clock })
     }
 
     fn handle(&mut self, _: CX![], msg: A::Msg) {
-        self.machine.handle(self.clock.now(), msg);
+        self.state.handle(self.clock.now(), msg);
     }
 
     fn after_batch(&mut self, _: CX![]) {
-        self.machine.after_batch(self.clock.now());
+        self.state.after_batch(self.clock.now());
     }
 
     fn tick(&mut self, cx: CX![]) {
-        self.machine.tick(self.clock.now());
-        self.machine.after_batch(self.clock.now());
+        self.state.tick(self.clock.now());
+        self.state.after_batch(self.clock.now());
         after!(A::TICK, [cx], tick());
     }
 }
 
-/// Starts a machine on a new thread, which ends when its last mailbox is dropped.
+/// Starts an actor on a new thread, which ends when the last mailbox is dropped.
 ///
 /// # Errors
 ///
-/// Fails if the system gives no thread.
-pub fn spawn<A: Actor>(name: &str, clock: Clock, machine: A) -> io::Result<Mailbox<A::Msg>> {
+/// Fails if the thread cannot be created.
+pub fn spawn<A: Actor>(name: &str, clock: Clock, state: A) -> io::Result<Mailbox<A::Msg>> {
     let (tx, rx) = mpsc::channel();
     thread::Builder::new()
         .name(name.into())
-        .spawn(move || run(clock, machine, &rx))?;
+        .spawn(move || run(clock, state, &rx))?;
     Ok(Mailbox(tx))
 }
 
-/// Turns the actor system until the mailbox closes.
-fn run<A: Actor>(clock: Clock, machine: A, inbox: &mpsc::Receiver<A::Msg>) {
+/// Runs the Stakker event loop until every mailbox is dropped.
+fn run<A: Actor>(clock: Clock, state: A, inbox: &mpsc::Receiver<A::Msg>) {
     let mut stakker = Stakker::new(Instant::now());
-    let shell = actor!(stakker, <Shell<A>>::init(machine, clock), ret_nop!());
+    let stakker_actor = actor!(stakker, <StakkerActor<A>>::init(state, clock), ret_nop!());
     loop {
         stakker.run(Instant::now(), false);
         let wait = stakker.next_wait_max(Instant::now(), A::TICK, false);
         match inbox.recv_timeout(wait) {
             Ok(msg) => {
-                call!([shell], handle(msg));
-                // A burst is handled in one turn of the actor system.
+                call!([stakker_actor], handle(msg));
+                // Queued messages are handled in one run of the event loop.
                 while let Ok(msg) = inbox.try_recv() {
-                    call!([shell], handle(msg));
+                    call!([stakker_actor], handle(msg));
                 }
-                call!([shell], after_batch());
+                call!([stakker_actor], after_batch());
             }
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return,
--- a/crates/sapphirequayd/src/process/announcer.rs
+++ b/crates/sapphirequayd/src/process/announcer.rs
@@ -1,4 +1,5 @@
-//! Threads that exchange the directory with the ledger hosts.
+//! Threads that announce an upstream to the ledger hosts and read the upstream
+//! directory from them.
 
 use {
     crate::{
@@ -14,31 +15,32 @@
     std::{io, net::SocketAddr, thread, time::Duration},
 };
 
-/// Interval between two reads of the directory by an entry.
-const READ_EVERY: Duration = Duration::from_secs(1);
+/// Interval between directory reads by an entry whose view is complete.
+const READ_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Interval between two reads while answers are cut short, or before the first
-/// answer.
-const CATCH_UP_EVERY: Duration = Duration::from_millis(250);
+/// Interval between directory reads while the view is incomplete: before the
+/// first reply, while replies are truncated, or after a failed read.
+const CATCH_UP_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Sends one request to a host that keeps the directory.
+/// Sends one request to a ledger host, which stores the directory.
 fn ask(links: &Links, addr: SocketAddr, req: MembersRequest) -> Result<MembersReply, LinkError> {
     links
         .open(addr, LinkRole::Ledger, &LinkRequest::Members(req))?
         .recv()
 }
 
-/// What decides beside the gate whether the upstream takes new work.
+/// Conditions other than the admission gate that determine the announced state
+/// of the upstream.
 #[derive(Debug, Clone)]
-pub struct Standing {
-    /// Whether this process is leaving.
+pub struct StateSources {
+    /// Tells whether this process is draining.
     pub lifecycle: Lifecycle,
     /// Health of the upstream.
     pub health: SharedHealth,
 }
 
-impl Standing {
-    /// The state to announce, given what the gate says.
+impl StateSources {
+    /// State to announce, given the state reported by the admission gate.
     fn state(&self, gate: UpstreamState) -> UpstreamState {
         if self.lifecycle.draining() {
             UpstreamState::Draining
@@ -48,26 +50,27 @@
     }
 }
 
-/// Announces one upstream to every ledger host.
+/// Announces one upstream to every ledger host, at each heartbeat.
 #[derive(Debug, Clone)]
 pub struct Announcer {
     /// Links to the hosts.
     pub links: Links,
-    /// Tells load and state.
+    /// Admission gate, which reports load and state.
     pub gate: Mailbox<GateMsg>,
-    /// What else the state depends on.
-    pub standing: Standing,
-    /// What stays the same over one run of the sidecar.
+    /// Other conditions that the announced state depends on.
+    pub state_sources: StateSources,
+    /// Announcement to send; its sequence number, load and state are updated
+    /// before each heartbeat.
     pub announcement: Announcement,
 }
 
 impl Announcer {
-    /// Starts a thread for each host, so that one that does not answer holds
-    /// up no other.
+    /// Starts a thread for each host, so that an unresponsive host does not
+    /// delay the announcements to the others.
     ///
     /// # Errors
     ///
-    /// Fails if the system gives no thread.
+    /// Fails if a thread cannot be created.
     pub fn start(&self, hosts: &[SocketAddr]) -> io::Result<()> {
         for host in hosts.iter().copied() {
             let announcer = self.clone();
@@ -78,7 +81,7 @@
         Ok(())
     }
 
-    /// Announces to one host until the process ends.
+    /// Announces to one host until the admission gate stops.
     fn run(mut self, host: SocketAddr) {
         let mut contact = HostContact::default();
         let mut pacer = Pacer::new(MembersSettings::default().heartbeat);
@@ -89,7 +92,7 @@
             };
             self.announcement.sequence += 1;
             self.announcement.load = load;
-            self.announcement.state = self.standing.state(state);
+            self.announcement.state = self.state_sources.state(state);
             let reply = ask(&self.links, host, contact.next_request(&self.announcement));
             if let Err(err) = &reply {
                 log::warn!("event=announce_failed ledger={host} cause={err:?}");
@@ -100,35 +103,37 @@
     }
 }
 
-/// Reads the directory for the router of an entry.
+/// Reads the upstream directory and passes it to the router of an entry.
 #[derive(Debug)]
-pub struct Reader {
-    /// Name of the entry.
+pub struct DirectoryReader {
+    /// Name of the entry process.
     pub name: Box<str>,
     /// Links to the hosts.
     pub links: Links,
-    /// Takes what is read.
+    /// Receives the directory entries.
     pub router: Mailbox<RouterMsg>,
-    /// Time of the process.
+    /// Clock of the process.
     pub clock: Clock,
 }
 
-impl Reader {
-    /// Reads until the process ends.
+impl DirectoryReader {
+    /// Reads the directory until the process ends; returns at once if `hosts` is
+    /// empty.
     pub fn run(&self, hosts: &[SocketAddr]) {
         let id = ContentDigest::of(&[b"reader", self.name.as_bytes()]).to_u64();
-        // Entries spread over the hosts, and turn to the next when one fails.
-        let mut turn = usize::try_from(id).unwrap_or_default();
+        // Entries start at different hosts to spread the load, and move to the
+        // next host when a read fails.
+        let mut host_index = usize::try_from(id).unwrap_or_default();
         let mut view = DirectoryView::default();
-        let mut steady = Pacer::new(READ_EVERY);
-        let mut catch_up = Pacer::new(CATCH_UP_EVERY);
+        let mut steady = Pacer::new(READ_INTERVAL);
+        let mut catch_up = Pacer::new(CATCH_UP_INTERVAL);
         while !hosts.is_empty() {
-            let host = hosts[turn % hosts.len()];
-            let learnt = self.read(host, id, &mut view);
-            if !learnt {
-                turn = turn.wrapping_add(1);
+            let host = hosts[host_index % hosts.len()];
+            let applied = self.read(host, id, &mut view);
+            if !applied {
+                host_index = host_index.wrapping_add(1);
             }
-            let pacer = if learnt && view.complete() && !view.has_more() {
+            let pacer = if applied && view.complete() && !view.has_more() {
                 &mut steady
             } else {
                 &mut catch_up
@@ -137,7 +142,8 @@
         }
     }
 
-    /// Reads once; `false` if the host gave no fitting answer.
+    /// Reads once; returns `false` if the read failed or the reply does not apply
+    /// to the view.
     fn read(&self, host: SocketAddr, id: u64, view: &mut DirectoryView) -> bool {
         let reply = ask(
             &self.links,
@@ -153,10 +159,10 @@
             }
         };
         let now = self.clock.now();
-        let learnt = view.apply(now, changes);
-        if learnt {
+        let applied = view.apply(now, changes);
+        if applied {
             self.router.send(RouterMsg::Directory(view.entries(now)));
         }
-        learnt
+        applied
     }
 }
--- a/crates/sapphirequayd/src/process/clock.rs
+++ b/crates/sapphirequayd/src/process/clock.rs
@@ -1,4 +1,4 @@
-//! The only place where the daemon reads a clock for its decisions.
+//! Clock of the daemon; the daemon logic reads time only through this module.
 
 use {
     quay_types::Time,
@@ -10,7 +10,7 @@
 pub struct Clock(Instant);
 
 impl Clock {
-    /// A clock that starts now.
+    /// Returns a clock that starts now.
     #[must_use]
     pub fn start() -> Self {
         Self(Instant::now())
--- a/crates/sapphirequayd/src/process/control.rs
+++ b/crates/sapphirequayd/src/process/control.rs
@@ -1,4 +1,4 @@
-//! Answers requests to the control group on a ledger host.
+//! Serves requests to the control group on a ledger host.
 
 use {
     crate::process::{
@@ -20,32 +20,34 @@
     },
 };
 
-/// Daemons that a host remembers.
+/// Number of daemons whose last poll a host records.
 const MAX_DAEMONS: usize = 4_096;
 
-/// Longest name of a daemon, in bytes.
+/// Longest daemon name that is recorded, in bytes.
 const MAX_NAME_BYTES: usize = 128;
 
-/// Interval at which the first document is offered until it is in force.
-const FOUND_EVERY: Duration = Duration::from_millis(500);
+/// Interval between attempts to commit the first document, until a document is
+/// in force.
+const BOOTSTRAP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Id and author of the first document: the same from every host, so that the
-/// group takes it once.
+/// Change id and author of the first document. Every host uses the same id, so
+/// that the group applies the document once.
 const FIRST_DOCUMENT: &str = "first-document";
 
-/// The control group.
+/// Mailbox of this host's replica of the control group.
 pub type ControlGroup = Mailbox<GroupMsg<ConfigStore>>;
 
-/// Daemons by name: the index that they hold, and when they said so.
+/// Daemons by name: the configuration index reported last, and the time of that
+/// report.
 type Daemons = IndexMap<Box<str>, (ConfigIndex, Time)>;
 
-/// This host's part in the control group; clones share it.
+/// Serves the control group on this host; clones share the state.
 #[derive(Clone)]
 pub struct ControlService {
     group: ControlGroup,
     directory: Mailbox<DirectoryMsg>,
     daemons: Arc<Mutex<Daemons>>,
-    floor: Arc<Mutex<MinConfigIndex>>,
+    min_index: Arc<Mutex<MinConfigIndex>>,
     clock: Clock,
 }
 
@@ -55,14 +57,15 @@
     }
 }
 
-/// Locks what no panic can leave half done.
+/// Locks a mutex and ignores poisoning: no panic leaves the values protected
+/// here half updated.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl ControlService {
-    /// A service over this host's replica and directory. `grace` holds until a
-    /// document sets another.
+    /// Creates a service over this host's replica and directory. `grace` applies
+    /// until a document sets another grace period.
     #[must_use]
     pub fn new(
         group: ControlGroup,
@@ -74,36 +77,38 @@
             group,
             directory,
             daemons: Arc::default(),
-            floor: Arc::new(Mutex::new(MinConfigIndex::new(grace))),
+            min_index: Arc::new(Mutex::new(MinConfigIndex::new(grace))),
             clock,
         }
     }
 
-    /// Offers a first document until one is in force.
+    /// Starts a thread that proposes `text` as the first document until a
+    /// document is in force or the proposal is refused.
     ///
     /// # Errors
     ///
-    /// Fails if the system gives no thread.
-    pub fn found(&self, text: Box<str>) -> std::io::Result<()> {
+    /// Fails if the thread cannot be created.
+    pub fn bootstrap(&self, text: Box<str>) -> std::io::Result<()> {
         let service = self.clone();
         thread::Builder::new()
-            .name("control-found".into())
+            .name("bootstrap".into())
             .spawn(move || {
-                while !service.offer(&text) {
-                    thread::sleep(FOUND_EVERY);
+                while !service.try_bootstrap(&text) {
+                    thread::sleep(BOOTSTRAP_INTERVAL);
                 }
             })?;
         Ok(())
     }
 
-    /// Offers the first document once; `true` if one is in force.
-    fn offer(&self, text: &str) -> bool {
+    /// Proposes the first document once; returns `true` if no further attempt is
+    /// needed.
+    fn try_bootstrap(&self, text: &str) -> bool {
         match self.read(ConfigQuery::Status) {
             Ok(ConfigAnswer::Status(status)) if status.index > ConfigIndex(0) => return true,
             Ok(ConfigAnswer::Status(_)) => {}
             _ => return false,
         }
-        let order = ConfigCommand {
+        let command = ConfigCommand {
             id: ChangeId(FIRST_DOCUMENT.into()),
             author: FIRST_DOCUMENT.into(),
             origin: Origin::Process,
@@ -111,7 +116,7 @@
             time_ms: Clock::wall_ms(),
             action: Action::Bootstrap(text.into()),
         };
-        match self.propose(order) {
+        match self.propose(command) {
             ControlReply::Command(Err(refusal)) => {
                 log::error!("event=first_document_refused cause={:?}", refusal.summary());
                 true
@@ -121,12 +126,13 @@
         }
     }
 
-    /// Serves one request of a peer whose role may ask it.
+    /// Serves one request of a peer. The caller has checked that the role of the
+    /// peer allows it.
     pub fn serve(&self, req: ControlRequest, peer: &Incoming) -> ControlReply {
         let holder = peer.holder.clone().unwrap_or_default();
         match req {
             ControlRequest::Poll { daemon, poll } => {
-                self.note(&daemon, poll.index);
+                self.record_daemon(&daemon, poll.index);
                 self.answer(ConfigQuery::Poll(poll))
             }
             ControlRequest::Quarantine {
@@ -142,7 +148,7 @@
                 time_ms: Clock::wall_ms(),
                 action: Action::Quarantine(digest, until_ms),
             }),
-            ControlRequest::Command(order) => self.operator(*order, holder),
+            ControlRequest::Command(command) => self.execute(*command, holder),
             ControlRequest::Image => self.answer(ConfigQuery::Image),
             ControlRequest::Status => self.answer(ConfigQuery::Status),
             ControlRequest::Audit { after, limit } => {
@@ -152,54 +158,56 @@
         }
     }
 
-    /// Carries out an operator's order. The author is who the certificate
-    /// names, whatever the order says.
-    fn operator(&self, order: OperatorCommand, holder: Box<str>) -> ControlReply {
-        let dry_run = order.dry_run;
-        let order = ConfigCommand {
-            id: order.id,
+    /// Executes an operator's command. The author is taken from the certificate
+    /// of the peer, not from the command.
+    fn execute(&self, command: OperatorCommand, holder: Box<str>) -> ControlReply {
+        let dry_run = command.dry_run;
+        let command = ConfigCommand {
+            id: command.id,
             author: holder,
             origin: Origin::Operator,
-            cause: order.cause,
+            cause: command.cause,
             time_ms: Clock::wall_ms(),
-            action: order.action,
+            action: command.action,
         };
         if dry_run {
-            return self.answer(ConfigQuery::DryRun(Box::new(order)));
+            return self.answer(ConfigQuery::DryRun(Box::new(command)));
         }
         log::info!(
             "event=order author={} id={:?} action={:?}",
-            order.author,
-            order.id.0,
-            order.action.to_string()
+            command.author,
+            command.id.0,
+            command.action.to_string()
         );
-        self.propose(order)
+        self.propose(command)
     }
 
     // -----------------------------------------------------------------------
-    // The oldest index
+    // Oldest accepted configuration index
 
-    /// Notes the index in force, and the grace that the document names.
-    pub fn learn(&self, index: ConfigIndex, grace: Duration) {
-        let mut floor = lock(&self.floor);
-        floor.set_grace(grace);
-        floor.observe(self.clock.now(), index);
+    /// Records the index in force and the grace period set by the document.
+    pub fn observe_config(&self, index: ConfigIndex, grace: Duration) {
+        let mut min_index = lock(&self.min_index);
+        min_index.set_grace(grace);
+        min_index.observe(self.clock.now(), index);
     }
 
-    /// Whether work that was begun under `index` is taken.
+    /// Checks whether work begun under configuration `index` is still accepted.
     ///
     /// # Errors
     ///
-    /// [`quay_types::ErrorKind::ConfigStale`]: nothing ran.
-    pub fn check(&self, index: ConfigIndex) -> Result<(), Error> {
-        lock(&self.floor).check(self.clock.now(), index)
+    /// [`quay_types::ErrorKind::ConfigStale`] if the index is too old; the work
+    /// has not run.
+    pub fn check_index(&self, index: ConfigIndex) -> Result<(), Error> {
+        lock(&self.min_index).check(self.clock.now(), index)
     }
 
     // -----------------------------------------------------------------------
     // Group, directory, daemons
 
-    /// Notes what a daemon holds.
-    fn note(&self, daemon: &str, index: ConfigIndex) {
+    /// Records the configuration index that a daemon reported. Names that are too
+    /// long, and new daemons beyond [`MAX_DAEMONS`], are ignored.
+    fn record_daemon(&self, daemon: &str, index: ConfigIndex) {
         let mut daemons = lock(&self.daemons);
         let known = daemons.contains_key(daemon);
         if daemon.len() <= MAX_NAME_BYTES && (known || daemons.len() < MAX_DAEMONS) {
@@ -207,7 +215,7 @@
         }
     }
 
-    /// What was heard of the daemons.
+    /// Last report of each daemon.
     fn daemons(&self) -> Box<[DaemonRow]> {
         let now = self.clock.now();
         let daemons = lock(&self.daemons);
@@ -219,30 +227,31 @@
         rows.collect()
     }
 
-    /// The directory as this host knows it.
+    /// Upstream directory as seen by this host.
     fn members(&self) -> Box<[MemberRow]> {
         let lines = self.directory.ask(DirectoryMsg::Members);
         let lines = lines.unwrap_or_default().into_iter();
         lines.map(MemberRow::from).collect()
     }
 
-    /// Proposes an order.
+    /// Proposes a command to the group and waits for its result.
     fn propose(&self, command: ConfigCommand) -> ControlReply {
-        let asked = self.group.ask(|reply| GroupMsg::Propose { command, reply });
-        match asked {
+        let result = self.group.ask(|reply| GroupMsg::Propose { command, reply });
+        match result {
             Some(Ok(reply)) => ControlReply::Command(reply),
-            Some(Err(err)) => of_group_error(err),
+            Some(Err(err)) => reply_for_group_error(err),
             None => ControlReply::Unknown,
         }
     }
 
-    /// Asks the group for state that a quorum has confirmed.
+    /// Runs a linearizable query: the group answers from state that a quorum has
+    /// confirmed.
     fn read(&self, query: ConfigQuery) -> Result<ConfigAnswer, GroupError> {
-        let asked = self.group.ask(|reply| GroupMsg::Read { query, reply });
-        asked.unwrap_or(Err(GroupError::Unavailable))
+        let result = self.group.ask(|reply| GroupMsg::Read { query, reply });
+        result.unwrap_or(Err(GroupError::Unavailable))
     }
 
-    /// Answers a query.
+    /// Runs a query and converts its result into a reply.
     fn answer(&self, query: ConfigQuery) -> ControlReply {
         match self.read(query) {
             Ok(ConfigAnswer::Update(update)) => ControlReply::Update(update),
@@ -252,13 +261,13 @@
             Ok(ConfigAnswer::Status(status)) => {
                 ControlReply::Status(ControlStatus::new(status, self.daemons()))
             }
-            Err(err) => of_group_error(err),
+            Err(err) => reply_for_group_error(err),
         }
     }
 }
 
-/// The reply where the group did not answer.
-fn of_group_error(err: GroupError) -> ControlReply {
+/// Reply for a request that the group did not answer.
+fn reply_for_group_error(err: GroupError) -> ControlReply {
     match err {
         GroupError::NotLeader(leader) => ControlReply::Redirect(leader),
         GroupError::Unavailable => ControlReply::NoQuorum,
--- a/crates/sapphirequayd/src/process/control_client.rs
+++ b/crates/sapphirequayd/src/process/control_client.rs
@@ -1,4 +1,4 @@
-//! Finds the host that leads the control group and asks it.
+//! Client of the control group: finds its leader and sends requests to it.
 
 use {
     crate::{
@@ -9,28 +9,28 @@
     std::{fmt, net::SocketAddr},
 };
 
-/// Why the control group gave no answer.
+/// Reasons why a request to the control group got no reply.
 #[derive(Debug)]
 pub enum ControlError {
-    /// No ledger host is named in the settings or arguments.
+    /// Neither the settings nor the arguments name a ledger host.
     NoHost,
-    /// No host that leads was reached; says why of the last one.
+    /// The leader was not reached; holds the failure of the host tried last.
     NotReached(Box<str>),
-    /// A host leads no quorum; nothing happened.
+    /// The group has no quorum; the request was not executed.
     NoQuorum(SocketAddr),
-    /// The request was sent and its answer lost: it may be carried out.
+    /// The request was sent but its reply was lost: it may have been executed.
     Unknown(Box<str>),
 }
 
 impl fmt::Display for ControlError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NoHost => f.write_str("no ledger host is named"),
+            Self::NoHost => f.write_str("no ledger host is given in the settings or arguments"),
             Self::NotReached(why) => write!(f, "no host of the control group answers: {why}"),
             Self::NoQuorum(host) => write!(f, "ledger host {host} has no quorum"),
             Self::Unknown(why) => write!(
                 f,
-                "the answer was lost ({why}); send the request again with the same id"
+                "the reply was lost ({why}); resend the request with the same id"
             ),
         }
     }
@@ -38,17 +38,17 @@
 
 impl std::error::Error for ControlError {}
 
-/// Asks the control group.
+/// Sends requests to the control group.
 #[derive(Debug, Clone)]
 pub struct ControlClient {
     links: Links,
     hosts: Vec<SocketAddr>,
-    /// Host that answered last.
+    /// Host that replied to the last request.
     leader: Option<SocketAddr>,
 }
 
 impl ControlClient {
-    /// A client of the ledger on `hosts`.
+    /// Creates a client of the control group on the ledger hosts `hosts`.
     #[must_use]
     pub fn new(links: Links, hosts: impl Into<Vec<SocketAddr>>) -> Self {
         Self {
@@ -58,29 +58,31 @@
         }
     }
 
-    /// Asks each host once, the last leader first, and follows one redirect.
+    /// Sends a request to each host in turn, the last known leader first, until
+    /// one replies. Follows one redirect.
     ///
     /// # Errors
     ///
-    /// [`ControlError::Unknown`] if the request may have been carried out.
+    /// [`ControlError::Unknown`] if the request may have been executed; the other
+    /// errors mean that it was not.
     pub fn request(&mut self, req: ControlRequest) -> Result<ControlReply, ControlError> {
         let req = LinkRequest::Control(req);
         let mut untried = self.hosts.clone();
         let mut next = self.leader.take();
-        let mut fault = ControlError::NoHost;
+        let mut error = ControlError::NoHost;
         let mut redirected = false;
         while let Some(host) = next.or_else(|| untried.first().copied()) {
             untried.retain(|other| *other != host);
             next = None;
-            match self.ask_host(host, &req) {
+            match self.request_from_host(host, &req) {
                 Ok(ControlReply::Redirect(leader)) => {
-                    fault = ControlError::NotReached(format!("{host} does not lead").into());
+                    error = ControlError::NotReached(format!("{host} is not the leader").into());
                     if !redirected {
                         redirected = true;
                         next = leader.filter(|leader| *leader != host);
                     }
                 }
-                Ok(ControlReply::NoQuorum) => fault = ControlError::NoQuorum(host),
+                Ok(ControlReply::NoQuorum) => error = ControlError::NoQuorum(host),
                 Ok(ControlReply::Unknown) => {
                     return Err(ControlError::Unknown(format!("{host}").into()));
                 }
@@ -89,14 +91,18 @@
                     return Ok(reply);
                 }
                 Err(unknown @ ControlError::Unknown(_)) => return Err(unknown),
-                Err(err) => fault = err,
+                Err(err) => error = err,
             }
         }
-        Err(fault)
+        Err(error)
     }
 
-    /// Asks one host.
-    fn ask_host(&self, host: SocketAddr, req: &LinkRequest) -> Result<ControlReply, ControlError> {
+    /// Sends the request to one host.
+    fn request_from_host(
+        &self,
+        host: SocketAddr,
+        req: &LinkRequest,
+    ) -> Result<ControlReply, ControlError> {
         let opened = self.links.open(host, LinkRole::Ledger, req);
         let mut stream = opened.map_err(|err| match err {
             LinkError::Connect(why) => ControlError::NotReached(why),
--- a/crates/sapphirequayd/src/process/control_message.rs
+++ b/crates/sapphirequayd/src/process/control_message.rs
@@ -1,4 +1,4 @@
-//! Messages to the hosts that keep the control group.
+//! Requests to the control group on the ledger hosts, and their replies.
 
 use {
     quay_config::{
@@ -11,83 +11,84 @@
     std::net::SocketAddr,
 };
 
-/// An operator's request to change something.
+/// An operator's request to change the configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OperatorCommand {
-    /// Identity across resends.
+    /// Identifies the command when it is resent.
     pub id: ChangeId,
-    /// Why, in their words.
+    /// Reason given by the operator.
     pub cause: Box<str>,
-    /// What is to be done.
+    /// Change to make.
     pub action: Action,
-    /// Only tell whether it would be carried out.
+    /// Check whether the command would be accepted, without executing it.
     pub dry_run: bool,
 }
 
 /// A request to a host of the control group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ControlRequest {
-    /// A daemon asks what is in force, and says what it holds.
+    /// A daemon polls for the configuration in force and reports the one that it
+    /// holds.
     Poll {
         /// Name of the daemon.
         daemon: Box<str>,
-        /// What it holds.
+        /// Configuration that the daemon holds.
         poll: Poll,
     },
-    /// A process of the system asks to quarantine content until a time.
+    /// A daemon requests that content be quarantined until a given time.
     Quarantine {
-        /// Identity across resends.
+        /// Identifies the change when it is resent.
         id: ChangeId,
-        /// The content.
+        /// Digest of the content.
         digest: ContentDigest,
-        /// End, in milliseconds since the Unix epoch.
+        /// End of the quarantine, in milliseconds since the Unix epoch.
         until_ms: u64,
-        /// Why.
+        /// Reason for the quarantine.
         cause: Box<str>,
     },
-    /// An operator's order.
+    /// An operator's command.
     Command(Box<OperatorCommand>),
-    /// Everything in force.
+    /// Reads the whole configuration in force.
     Image,
-    /// What is in force, and which daemons hold it.
+    /// Reads the index in force and the index that each daemon holds.
     Status,
-    /// Records of the audit trail.
+    /// Reads records of the audit trail.
     Audit {
-        /// Sequence number after which they begin.
+        /// Sequence number after which the records begin.
         after: u64,
-        /// Most records.
+        /// Maximum number of records.
         limit: u32,
     },
-    /// The directory of the host that is asked.
+    /// Reads the upstream directory of the host that serves the request.
     Members,
 }
 
-/// What a host last heard of a daemon.
+/// Last poll of a daemon, as recorded by one ledger host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DaemonRow {
     /// Name of the daemon.
     pub name: Box<str>,
-    /// Index that is in force there.
+    /// Configuration index in force at the daemon.
     pub index: ConfigIndex,
-    /// Milliseconds since it asked.
+    /// Time since the poll, in milliseconds.
     pub age_ms: u64,
 }
 
-/// Answer to [`ControlRequest::Status`].
+/// Reply to [`ControlRequest::Status`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlStatus {
-    /// What is in force.
+    /// Configuration index in force.
     pub index: ConfigIndex,
-    /// The sections.
+    /// Summary of each section of the configuration.
     pub sections: Box<[SectionSummary]>,
-    /// Sequence of the last audit record.
+    /// Sequence number of the last audit record.
     pub audit: u64,
-    /// Daemons that have asked this host.
+    /// Daemons that have polled this host.
     pub daemons: Box<[DaemonRow]>,
 }
 
 impl ControlStatus {
-    /// Joins what the group and the host know.
+    /// Combines the status of the group with the polls recorded by the host.
     #[must_use]
     pub fn new(store: StoreStatus, daemons: Box<[DaemonRow]>) -> Self {
         Self {
@@ -99,31 +100,31 @@
     }
 }
 
-/// One upstream, for an operator.
+/// Status of one upstream, as shown to an operator.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRow {
     /// Name of the upstream.
     pub name: Box<str>,
-    /// Run of its sidecar.
+    /// Incarnation of its sidecar; changes with each restart.
     pub incarnation: Incarnation,
     /// Address of its sidecar.
     pub addr: SocketAddr,
-    /// Data centre that it is in.
+    /// Data centre of the upstream.
     pub data_centre: Box<str>,
-    /// State as readers are told.
+    /// State reported to readers of the directory.
     pub state: UpstreamState,
-    /// Why it is not trusted.
+    /// Reason why the upstream is suspected to have failed.
     pub suspicion: Option<Box<str>>,
-    /// Its load.
+    /// Load announced last.
     pub load: Load,
-    /// Milliseconds since it was heard.
+    /// Time since the last announcement or heartbeat, in milliseconds.
     pub age_ms: u64,
 }
 
 impl From<MemberStatus> for MemberRow {
-    fn from(line: MemberStatus) -> Self {
-        let announcement = line.announcement;
-        let suspicion = line.suspicion.map(|why| match why {
+    fn from(status: MemberStatus) -> Self {
+        let announcement = status.announcement;
+        let suspicion = status.suspicion.map(|why| match why {
             Suspicion::Silent => "missed heartbeats",
             Suspicion::OneWay => "does not hear answers",
             Suspicion::FailureReports => "requests fail",
@@ -133,33 +134,33 @@
             incarnation: announcement.incarnation,
             addr: announcement.addr,
             data_centre: announcement.data_centre,
-            state: line.state,
+            state: status.state,
             suspicion: suspicion.map(Into::into),
             load: announcement.load,
-            age_ms: line.age_ms,
+            age_ms: status.age_ms,
         }
     }
 }
 
-/// Answer to a [`ControlRequest`].
+/// Reply to a [`ControlRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ControlReply {
-    /// Answer to `Poll`, confirmed by a quorum.
+    /// Reply to `Poll`, confirmed by a quorum.
     Update(Update),
-    /// Answer to `Order` and `Quarantine`.
+    /// Reply to `Command` and `Quarantine`.
     Command(ConfigReply),
-    /// Answer to `Image`.
+    /// Reply to `Image`.
     Image(Box<Image>),
-    /// Answer to `Status`.
+    /// Reply to `Status`.
     Status(ControlStatus),
-    /// Answer to `Audit`.
+    /// Reply to `Audit`.
     Audit(Box<[AuditRecord]>),
-    /// Answer to `Members`.
+    /// Reply to `Members`.
     Members(Box<[MemberRow]>),
-    /// Another host leads the group; its address, if known.
+    /// Another host is the leader; holds its address, if known.
     Redirect(Option<SocketAddr>),
-    /// The group has no quorum; nothing happened.
+    /// The group has no quorum; the request was not executed.
     NoQuorum,
-    /// The request may or may not be carried out; send it again with its id.
+    /// The request may have been executed; resend it with the same id.
     Unknown,
 }
--- a/crates/sapphirequayd/src/process/control_role.rs
+++ b/crates/sapphirequayd/src/process/control_role.rs
@@ -1,4 +1,5 @@
-//! Starts what keeps a process up to the control group.
+//! Starts the control group on a ledger host and the threads that apply changes
+//! of configuration and key files.
 
 use {
     crate::{
@@ -19,16 +20,17 @@
     std::{thread, time::Duration},
 };
 
-/// The group of configuration, audit trail and quarantine.
+/// Id of the group that stores configuration, audit trail and quarantine.
 const CONTROL_GROUP: GroupId = GroupId(0);
 
-/// Interval at which key files are looked at.
-const KEYS_EVERY: Duration = Duration::from_secs(5);
+/// Interval between checks of the key files.
+const KEY_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Time for which work under an older index is taken until a document says.
-const FIRST_GRACE: Duration = Duration::from_secs(6);
+/// Time for which work begun under an older index is accepted, until a document
+/// sets the grace period.
+const DEFAULT_GRACE: Duration = Duration::from_secs(6);
 
-/// Starts the directory and this host's part in the control group.
+/// Starts the upstream directory and this host's replica of the control group.
 pub fn start_control(
     settings: &LedgerSettings,
     groups: &GroupHost,
@@ -38,23 +40,24 @@
         .first_document()
         .map_err(starting("[ledger] document"))?;
     if let Some(text) = &first {
-        let checked = Document::parse(text).map_err(|fault| vec![fault]);
+        let checked = Document::parse(text).map_err(|error| vec![error]);
         let checked = checked.and_then(|document| check(&document));
-        checked.map_err(|mut faults| StartError::Document(faults.swap_remove(0)))?;
+        checked.map_err(|mut errors| StartError::Document(errors.swap_remove(0)))?;
     }
     let run = Clock::wall_ms();
     let directory = Directory::new(clock.now(), run, MembersSettings::default());
     let directory = spawn("directory", clock, directory).map_err(starting("directory"))?;
     let group = groups.start(CONTROL_GROUP, ConfigStore::default())?;
-    let control = ControlService::new(group, directory.clone(), clock, FIRST_GRACE);
+    let control = ControlService::new(group, directory.clone(), clock, DEFAULT_GRACE);
     if let Some(text) = first {
-        control.found(text).map_err(starting("control group"))?;
+        control.bootstrap(text).map_err(starting("control group"))?;
     }
     Ok((directory, control))
 }
 
-/// What the roles of this process do when the configuration changes.
-pub fn follow_marks(settings: &Settings, roles: &Roles) -> impl Fn(&Rules) + Send + use<> {
+/// Returns the callback that applies a changed configuration to the roles of
+/// this process: drain marks, and the oldest configuration index accepted.
+pub fn config_change_handler(settings: &Settings, roles: &Roles) -> impl Fn(&Rules) + Send + use<> {
     let upstream = settings.sidecar.as_ref().map(|cfg| cfg.upstream.clone());
     let gate = roles.sidecar.as_ref().map(|role| role.gate.clone());
     let directory = roles.directory.clone();
@@ -67,12 +70,12 @@
             directory.send(DirectoryMsg::Drained(rules.all_drained().collect()));
         }
         if let (Some(control), Some(config)) = (&control, rules.config()) {
-            control.learn(rules.index(), config.grace);
+            control.observe_config(rules.index(), config.grace);
         }
     }
 }
 
-/// Follows the control group.
+/// Subscribes this process to the configuration of the control group.
 pub fn subscribe(
     settings: &Settings,
     links: &Links,
@@ -95,17 +98,17 @@
         .map_err(starting("config subscriber"))
 }
 
-/// Looks at the key files again and again, and takes what is new.
+/// Polls the key files and reloads the identity of the links when they change.
 pub fn watch_keys(links: &Links, files: &KeyFiles) {
     let mut seen = files.digest();
     loop {
-        thread::sleep(KEYS_EVERY);
+        thread::sleep(KEY_CHECK_INTERVAL);
         let now = files.digest();
         if now == seen {
             continue;
         }
-        // Files are written one after the other: a pair that does not fit yet
-        // is looked at again.
+        // Certificate and key are written one after the other: a pair that does
+        // not match yet is loaded again at the next check.
         match files.load().and_then(|identity| links.reload(identity)) {
             Ok(()) => {
                 log::info!("event=keys_reloaded cert={}", files.cert.display());
--- a/crates/sapphirequayd/src/process/daemon.rs
+++ b/crates/sapphirequayd/src/process/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts the roles that the settings name.
+//! Starts the roles that the settings enable.
 
 use {
     crate::{
@@ -7,8 +7,8 @@
             Clock, ControlRequest, ControlService, Gate, GroupHost, GroupStartError,
             KvCacheManager, KvMsg, LedgerClient, LedgerService, Lifecycle, Mailbox, PermitMsg,
             QuorumRequest, Router, SharedHealth,
-            announcer::{Announcer, Reader, Standing},
-            control_role::{follow_marks, start_control, subscribe, watch_keys},
+            announcer::{Announcer, DirectoryReader, StateSources},
+            control_role::{config_change_handler, start_control, subscribe, watch_keys},
             directory::DirectoryMsg,
             spawn, telemetry,
         },
@@ -35,19 +35,20 @@
     },
 };
 
-/// Group that the first program group is; the one before is the control group.
+/// Id of the first program group; the id before it is the control group.
 const FIRST_PROGRAM_GROUP: GroupId = GroupId(1);
 
-/// Why a process could not start.
+/// Reasons why a process could not start.
 #[derive(Debug)]
 pub enum StartError {
-    /// An address is taken or a thread can't be had.
+    /// An address could not be bound or a thread could not be created; names what
+    /// was being started.
     Io(Box<str>, io::Error),
-    /// Links can't be set up.
+    /// The links between processes could not be set up.
     Link(LinkError),
-    /// The replicas of the ledger can't be started.
+    /// The replicas on this ledger host could not be started.
     Group(GroupStartError),
-    /// The first configuration document has a fault.
+    /// The first configuration document is invalid.
     Document(ConfigError),
 }
 
@@ -76,7 +77,7 @@
     }
 }
 
-/// Names what failed with an [`io::Error`].
+/// Returns a function that adds to an [`io::Error`] what was being started.
 pub fn starting(what: &str) -> impl FnOnce(io::Error) -> StartError {
     let what = what.into();
     move |err| StartError::Io(what, err)
@@ -90,11 +91,11 @@
     links: Links,
     lifecycle: Lifecycle,
     current: Current,
-    /// Whether the process announces an upstream.
+    /// Whether the process has the sidecar role and announces an upstream.
     announces: bool,
 }
 
-/// The roles that streams from peers are for.
+/// Running roles that serve streams from peers.
 #[derive(Default)]
 pub struct Roles {
     pub sidecar: Option<AttemptContext>,
@@ -109,7 +110,8 @@
     ///
     /// # Errors
     ///
-    /// Says which address or key can't be used.
+    /// Fails if an address or key cannot be used, a thread cannot be created, or
+    /// the first configuration document is invalid.
     pub fn start(settings: &Settings, identity: Identity) -> Result<Self, StartError> {
         telemetry::start();
         let clock = Clock::start();
@@ -121,7 +123,7 @@
         };
         let accepting = Arc::clone(&roles);
         let links = Links::start(link_settings, move |incoming| {
-            // Peers that come before the roles are up find the stream closed.
+            // Streams that arrive before the roles have started are closed.
             if accepting.get().is_some() {
                 dispatch(Arc::clone(&accepting), incoming);
             }
@@ -139,7 +141,7 @@
             started.sidecar = Some(start_sidecar(settings, sidecar, &links, clock, &lifecycle)?);
         }
         let current = Current::default();
-        let changed = follow_marks(settings, &started);
+        let changed = config_change_handler(settings, &started);
         let _ = roles.set(started);
         subscribe(settings, &links, &current, changed)?;
         let edge = match &settings.entry {
@@ -170,30 +172,31 @@
         })
     }
 
-    /// Address that callers reach, if the entry role runs.
+    /// Listen address for client requests, if the entry role runs.
     #[must_use]
     pub fn callers_addr(&self) -> Option<SocketAddr> {
         self.edge.as_ref().map(Edge::local_addr)
     }
 
-    /// Waits until entries can have heard that this process leaves.
+    /// Waits for two heartbeats, so that entries can learn that the upstream of
+    /// this process is draining. Returns at once if there is no sidecar.
     pub fn wait_for_drain_announcement(&self) {
         if self.announces {
             thread::sleep(MembersSettings::default().heartbeat * 2);
         }
     }
 
-    /// Whether the process takes new requests, and how many are in progress.
+    /// Drain state of the process and its number of requests in progress.
     #[must_use]
     pub const fn lifecycle(&self) -> &Lifecycle {
         &self.lifecycle
     }
 
-    /// Takes new keys into use when the files change, until the process ends.
+    /// Starts a thread that reloads the keys whenever the files change.
     ///
     /// # Errors
     ///
-    /// Fails if the system gives no thread.
+    /// Fails if the thread cannot be created.
     pub fn watch_keys(&self, files: KeyFiles) -> io::Result<()> {
         let links = self.links.clone();
         thread::Builder::new()
@@ -202,19 +205,20 @@
         Ok(())
     }
 
-    /// Index of the configuration in force here; 0 before the first document.
+    /// Index of the configuration in force in this process; 0 before the first
+    /// document.
     #[must_use]
     pub fn config_index(&self) -> ConfigIndex {
         self.current.get().index()
     }
 
-    /// Address of `/metrics` and `/healthz`, if the settings name one.
+    /// Listen address of `/metrics` and `/healthz`, if configured.
     #[must_use]
     pub fn monitor_addr(&self) -> Option<SocketAddr> {
         self.monitor.as_ref().map(Monitor::local_addr)
     }
 
-    /// Address that links are accepted on.
+    /// Listen address for links from other processes.
     #[must_use]
     pub const fn link_addr(&self) -> Option<SocketAddr> {
         self.links.local_addr()
@@ -231,7 +235,7 @@
     lifecycle: &Lifecycle,
 ) -> Result<Edge, StartError> {
     let router = spawn("router", clock, router(settings)).map_err(starting("router"))?;
-    let reader = Reader {
+    let reader = DirectoryReader {
         name: settings.process.name.clone(),
         links: links.clone(),
         router: router.clone(),
@@ -256,11 +260,15 @@
     Edge::start(cx).map_err(starting(&format!("[entry] listen {}", entry.listen)))
 }
 
-/// Routing by the knobs of the settings.
+/// Creates a router with the policy settings.
 fn router(settings: &Settings) -> Router {
-    let knobs = &settings.policy;
-    let place = &settings.process.data_centre;
-    Router::new(knobs.route.settings(), knobs.retry.settings(), place)
+    let policy = &settings.policy;
+    let data_centre = &settings.process.data_centre;
+    Router::new(
+        policy.route.settings(),
+        policy.retry.settings(),
+        data_centre,
+    )
 }
 
 /// Starts the ledger role.
@@ -284,8 +292,9 @@
     let gate = settings.policy.admit.settings(sidecar.concurrency);
     let gate = spawn("gate", clock, Gate::new(gate)).map_err(starting("gate"))?;
     let incarnation = Incarnation(Clock::wall_ms());
-    let book = PermitRegistry::new(UpstreamId::of(&sidecar.upstream), incarnation);
-    let permits: Mailbox<PermitMsg> = spawn("permits", clock, book).map_err(starting("permits"))?;
+    let registry = PermitRegistry::new(UpstreamId::of(&sidecar.upstream), incarnation);
+    let permits: Mailbox<PermitMsg> =
+        spawn("permits", clock, registry).map_err(starting("permits"))?;
     let announcement = Announcement {
         name: sidecar.upstream.clone(),
         incarnation,
@@ -300,14 +309,14 @@
     health
         .start_prober(format!("http://{}/healthz", sidecar.addr).into())
         .map_err(starting("prober"))?;
-    let standing = Standing {
+    let state_sources = StateSources {
         lifecycle: lifecycle.clone(),
         health: health.clone(),
     };
     let announcer = Announcer {
         links: links.clone(),
         gate: gate.clone(),
-        standing,
+        state_sources,
         announcement,
     };
     announcer
@@ -320,7 +329,7 @@
         let ledger = LedgerClient::new(links.clone(), settings.link.ledgers.as_slice());
         let sweep = settings.policy.kv.sweep();
         let kv = KvCacheManager::start(clock, sweep, engine.clone(), ledger);
-        Some(kv.map_err(starting("kv keeper"))?)
+        Some(kv.map_err(starting("KV cache manager"))?)
     };
     Ok(AttemptContext {
         incarnation,
@@ -336,7 +345,7 @@
     })
 }
 
-/// What the settings say that the upstream serves.
+/// Returns the kind of the upstream and the models or service that it serves.
 fn upstream_kind(sidecar: &SidecarSettings) -> UpstreamKind {
     match &sidecar.service {
         Some(service) => UpstreamKind::Service {
@@ -355,7 +364,7 @@
 // ---------------------------------------------------------------------------
 // Streams from peers
 
-/// Hands a stream to the role that it is for.
+/// Decodes the first request of a stream and serves it on a new thread.
 fn dispatch(roles: Arc<OnceLock<Roles>>, incoming: Incoming) {
     let spawned = thread::Builder::new().name("stream".into()).spawn(move || {
         let Some(roles) = roles.get() else { return };
@@ -369,7 +378,7 @@
     }
 }
 
-/// Serves a stream if the peer's role may ask for it.
+/// Serves a stream if the roles of the peer allow its request.
 fn serve_stream(roles: &Roles, req: LinkRequest, mut incoming: Incoming) {
     if !allowed(&req, &incoming.roles) {
         log::warn!(
@@ -405,7 +414,7 @@
         }
         LinkRequest::Ledger(req) => {
             if let Some(ledger) = &roles.ledger {
-                let reply = stale(roles, &req).unwrap_or_else(|| ledger.serve(req));
+                let reply = stale_config_refusal(roles, &req).unwrap_or_else(|| ledger.serve(req));
                 let _ = incoming.stream.send(&reply);
             }
         }
@@ -416,19 +425,24 @@
         }
         LinkRequest::Gateway(_) => {}
         LinkRequest::Sidecar(SidecarRequest::ProgramEnded(program)) => {
-            if let Some(kv) = roles.sidecar.as_ref().and_then(|it| it.kv.as_ref()) {
+            if let Some(kv) = roles
+                .sidecar
+                .as_ref()
+                .and_then(|sidecar| sidecar.kv.as_ref())
+            {
                 kv.send(KvMsg::ProgramEnded(program));
             }
         }
     }
 }
 
-/// The refusal of a call that was begun under rules that are no longer in force.
-fn stale(roles: &Roles, req: &LedgerRequest) -> Option<LedgerReply> {
+/// Returns the refusal of a call begun under a configuration index that is no
+/// longer accepted.
+fn stale_config_refusal(roles: &Roles, req: &LedgerRequest) -> Option<LedgerReply> {
     let LedgerRequest::Begin(begin) = req else {
         return None;
     };
-    let err = roles.control.as_ref()?.check(begin.config).err()?;
+    let err = roles.control.as_ref()?.check_index(begin.config).err()?;
     Some(LedgerReply::Begin(BeginReply::Refused(err)))
 }
 
@@ -448,7 +462,7 @@
             &[LinkRole::Entry, LinkRole::Ledger]
         }
         LinkRequest::Quorum(QuorumRequest::Peer { .. }) => &[LinkRole::Ledger],
-        // A daemon has no role of a gateway.
+        // Daemons do not serve gateway requests.
         LinkRequest::Gateway(_) => &[],
         LinkRequest::Control(_) | LinkRequest::Quorum(_) => &[LinkRole::Operator],
         LinkRequest::Ledger(_) => &[LinkRole::Entry, LinkRole::Sidecar],
--- a/crates/sapphirequayd/src/process/directory.rs
+++ b/crates/sapphirequayd/src/process/directory.rs
@@ -1,4 +1,4 @@
-//! Keeps the directory of upstreams on a ledger host.
+//! Runs the upstream directory of a ledger host as an actor.
 
 use {
     crate::process::Actor,
@@ -8,18 +8,18 @@
     std::{sync::mpsc::SyncSender, time::Duration},
 };
 
-/// What the directory is told.
+/// Messages to the directory.
 pub enum DirectoryMsg {
-    /// A request of a sidecar or a reader.
+    /// A request of a sidecar or of an entry that reads the directory.
     Request {
         /// The request.
         req: MembersRequest,
-        /// Takes the answer.
+        /// Receives the reply.
         reply: SyncSender<MembersReply>,
     },
-    /// The upstreams that are marked to leave.
+    /// Replaces the set of upstreams that an operator has marked to drain.
     Drained(IndexSet<UpstreamId>),
-    /// Asks for every line.
+    /// Asks for the status of every upstream.
     Members(SyncSender<Vec<MemberStatus>>),
 }
 
--- a/crates/sapphirequayd/src/process/gate.rs
+++ b/crates/sapphirequayd/src/process/gate.rs
@@ -1,4 +1,5 @@
-//! Admits calls to the upstream of a sidecar.
+//! Admission gate of a sidecar: queues calls to its upstream and admits them
+//! within a concurrency limit.
 
 use {
     crate::process::Actor,
@@ -10,27 +11,28 @@
     std::{sync::mpsc::SyncSender, time::Duration},
 };
 
-/// Weight of the newest time between tokens in the mean, as a divisor.
-const GAP_MEAN: u32 = 16;
+/// Divisor of the moving average of the time between tokens: the newest value
+/// has a weight of 1/16.
+const TOKEN_GAP_DIVISOR: u32 = 16;
 
-/// Takes the verdict on a call: its ticket if it may run.
+/// Receives the admission decision for a call: its ticket id if it may run.
 pub type Waiter = SyncSender<Result<TicketId, Error>>;
 
-/// What the gate is told.
+/// Messages to the admission gate.
 pub enum GateMsg {
-    /// A call asks for admission; the answer comes when it may run.
+    /// Queues a call; the decision is sent when the call is admitted or refused.
     Admit(Ticket, Waiter),
-    /// An admitted call has ended.
+    /// An admitted call has ended and frees its slot.
     Finish(TicketId),
-    /// Tokens came from the upstream this far apart.
+    /// Time between two successive tokens of a stream from the upstream.
     TokenGap(Duration),
-    /// An operator's mark to leave was set, or taken away.
+    /// An operator has set or cleared the drain mark of the upstream.
     Drain(bool),
-    /// Asks for the load to announce.
+    /// Asks for the load and state to announce.
     Load(SyncSender<(Load, UpstreamState)>),
 }
 
-/// What admission needs to know of a call.
+/// Returns the admission ticket of a call.
 pub fn ticket(now: Time, call: &CallRequest) -> Ticket {
     Ticket {
         program: call.program,
@@ -43,7 +45,7 @@
     }
 }
 
-/// The queue before one upstream.
+/// Admission queue of one upstream.
 pub struct Gate {
     admission: Admission<AdaptiveLimit>,
     waiters: IndexMap<TicketId, Waiter>,
@@ -53,7 +55,7 @@
 }
 
 impl Gate {
-    /// An empty queue.
+    /// Creates a gate with an empty queue.
     pub fn new(cfg: AdmissionSettings) -> Self {
         Self {
             admission: Admission::new(cfg),
@@ -64,42 +66,42 @@
         }
     }
 
-    /// Queues a call under a ticket of its own.
-    fn enter(&mut self, now: Time, ticket: Ticket, waiter: Waiter) {
+    /// Queues a call under a new ticket id.
+    fn enqueue(&mut self, now: Time, ticket: Ticket, waiter: Waiter) {
         self.last_ticket += 1;
         let id = TicketId(self.last_ticket);
         self.waiters.insert(id, waiter);
         self.admission.enqueue(now, Ticket { id, ..ticket });
     }
 
-    /// Tells the callers of `poll` what was decided.
-    fn answer(&mut self, now: Time) {
+    /// Sends all pending admission decisions to the waiting calls.
+    fn send_verdicts(&mut self, now: Time) {
         loop {
             let verdicts = self.admission.poll(now);
             if verdicts.is_empty() {
                 return;
             }
             for verdict in verdicts {
-                self.tell(now, verdict);
+                self.send_verdict(now, verdict);
             }
         }
     }
 
-    fn tell(&mut self, now: Time, verdict: Verdict) {
+    fn send_verdict(&mut self, now: Time, verdict: Verdict) {
         let (id, answer) = match verdict {
             Verdict::Admit(id) => (id, Ok(id)),
             Verdict::Refuse(id, err) => (id, Err(err)),
         };
         let waiter = self.waiters.swap_remove(&id);
-        let heard = waiter.is_some_and(|waiter| waiter.send(answer).is_ok());
-        // A waiter that has gone away takes no place.
-        if !heard {
+        let delivered = waiter.is_some_and(|waiter| waiter.send(answer).is_ok());
+        // A call whose waiter has been dropped must not occupy a slot.
+        if !delivered {
             self.admission.finish(now, id);
         }
     }
 
-    /// Takes no new work, or takes it again. What waits has not run, and is
-    /// refused; what runs goes on.
+    /// Starts or stops draining. While draining, new calls and queued calls,
+    /// which have not run, are refused; running calls continue.
     fn drain(&mut self, drained: bool) {
         self.drained = drained;
         if drained {
@@ -109,16 +111,16 @@
         }
     }
 
-    /// Takes the time between tokens of one stream into the mean.
+    /// Updates the moving average of the time between tokens.
     fn token_gap(&mut self, gap: Duration) {
         self.token_gap = if self.token_gap.is_zero() {
             gap
         } else {
-            (self.token_gap * (GAP_MEAN - 1) + gap) / GAP_MEAN
+            (self.token_gap * (TOKEN_GAP_DIVISOR - 1) + gap) / TOKEN_GAP_DIVISOR
         };
     }
 
-    /// The load as it is announced.
+    /// Load to announce.
     fn load(&self) -> Load {
         Load {
             queued: u32::try_from(self.admission.queued()).unwrap_or(u32::MAX),
@@ -144,21 +146,21 @@
 
     fn handle(&mut self, now: Time, msg: GateMsg) {
         match msg {
-            GateMsg::Admit(ticket, waiter) => self.enter(now, ticket, waiter),
+            GateMsg::Admit(ticket, waiter) => self.enqueue(now, ticket, waiter),
             GateMsg::Finish(id) => self.admission.finish(now, id),
             GateMsg::TokenGap(gap) => self.token_gap(gap),
             GateMsg::Drain(drained) => self.drain(drained),
             GateMsg::Load(reply) => drop(reply.send((self.load(), self.state()))),
         }
-        self.answer(now);
+        self.send_verdicts(now);
     }
 
     fn tick(&mut self, now: Time) {
-        let seen = Observation {
+        let observation = Observation {
             token_gap: self.token_gap,
             kv_permille: 0,
         };
-        self.admission.observe(now, seen);
-        self.answer(now);
+        self.admission.observe(now, observation);
+        self.send_verdicts(now);
     }
 }
--- a/crates/sapphirequayd/src/process/health.rs
+++ b/crates/sapphirequayd/src/process/health.rs
@@ -1,24 +1,26 @@
-//! Decides whether an upstream is failing although its sidecar is alive.
+//! Detects that an upstream is failing while its sidecar still responds.
 
 use {
     quay_types::{Time, UpstreamState},
     std::{collections::VecDeque, time::Duration},
 };
 
-/// When an upstream counts as failing.
+/// Thresholds for marking an upstream as failing and as recovered.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HealthSettings {
-    /// Age at which an outcome no longer counts.
+    /// Age after which the outcome of a request is ignored.
     pub window: Duration,
-    /// Failures within the window that make an upstream failing, if at least
-    /// half of the outcomes are failures.
+    /// Number of failures within the window at which an upstream is marked as
+    /// failing, if at least half of the outcomes are failures.
     pub failures: usize,
-    /// Time between two probes of a failing upstream.
-    pub probe_every: Duration,
-    /// Good probes in a row after which the upstream serves again.
+    /// Interval between probes of a failing upstream.
+    pub probe_interval: Duration,
+    /// Number of consecutive successful probes after which the upstream serves
+    /// again.
     pub good_probes: u32,
-    /// Longest time that an upstream which keeps failing stays out after its
-    /// probes are good.
+    /// Upper limit of the hold time, for which a failing upstream stays out of
+    /// service even if its probes succeed. A failure sooner than this after a
+    /// recovery counts as a relapse.
     pub max_hold: Duration,
 }
 
@@ -27,36 +29,36 @@
         Self {
             window: Duration::from_secs(10),
             failures: 3,
-            probe_every: Duration::from_secs(1),
+            probe_interval: Duration::from_secs(1),
             good_probes: 2,
             max_hold: Duration::from_mins(1),
         }
     }
 }
 
-/// Health of one upstream, from the outcomes of its requests.
+/// Health of one upstream, derived from the outcomes of requests and probes.
 #[derive(Debug)]
 pub struct Health {
     settings: HealthSettings,
-    /// Outcomes within the window, oldest first; `true` is good.
+    /// Outcomes within the window, oldest first; `true` means success.
     outcomes: VecDeque<(Time, bool)>,
-    /// Since when the upstream is failing.
+    /// Time at which the upstream was marked as failing.
     failing_since: Option<Time>,
-    /// When the upstream recovered last.
+    /// Time of the last recovery.
     recovered: Option<Time>,
-    /// Good probes in a row.
+    /// Number of consecutive successful probes.
     good_probes: u32,
-    /// When the next probe is due.
+    /// Time at which the next probe is due.
     next_probe: Time,
-    /// How long the upstream stays out at least; doubles with each relapse.
+    /// Minimum time out of service; doubles with each relapse.
     hold: Duration,
 }
 
 impl Health {
-    /// Health of an upstream of which nothing is known.
+    /// Creates the health of an upstream with no recorded outcomes.
     #[must_use]
     pub const fn new(settings: HealthSettings) -> Self {
-        let hold = settings.probe_every;
+        let hold = settings.probe_interval;
         Self {
             settings,
             outcomes: VecDeque::new(),
@@ -68,7 +70,7 @@
         }
     }
 
-    /// State to announce, apart from draining.
+    /// State to announce if the upstream is not draining.
     #[must_use]
     pub const fn state(&self) -> UpstreamState {
         match self.failing_since {
@@ -77,25 +79,25 @@
         }
     }
 
-    /// Takes the outcome of a request.
+    /// Records the outcome of a request.
     pub fn record_outcome(&mut self, now: Time, good: bool) {
         self.outcomes.push_back((now, good));
-        self.forget(now);
+        self.drop_expired(now);
         if self.failing_since.is_none() && self.too_many_failures() {
             self.fail(now);
         }
     }
 
-    /// Whether a probe is due; if so, the next is due later.
+    /// Returns whether a probe is due and, if so, schedules the next one.
     pub fn probe_due(&mut self, now: Time) -> bool {
         if self.failing_since.is_none() || now < self.next_probe {
             return false;
         }
-        self.next_probe = now + self.settings.probe_every;
+        self.next_probe = now + self.settings.probe_interval;
         true
     }
 
-    /// Takes the result of a probe.
+    /// Records the result of a probe.
     pub fn record_probe(&mut self, now: Time, good: bool) {
         let Some(since) = self.failing_since else {
             return;
@@ -111,8 +113,8 @@
         }
     }
 
-    /// Drops outcomes that are too old to count.
-    fn forget(&mut self, now: Time) {
+    /// Drops outcomes that are older than the window.
+    fn drop_expired(&mut self, now: Time) {
         let window = self.settings.window;
         while self
             .outcomes
@@ -123,29 +125,31 @@
         }
     }
 
-    /// Whether failures within the window are many and at least half.
+    /// Whether the failures within the window reach the threshold and make up at
+    /// least half of the outcomes.
     fn too_many_failures(&self) -> bool {
         let failures = self.outcomes.iter().filter(|(_, good)| !good).count();
         failures >= self.settings.failures && failures * 2 >= self.outcomes.len()
     }
 
-    /// Takes the upstream out.
+    /// Marks the upstream as failing.
     fn fail(&mut self, now: Time) {
-        // A relapse soon after a recovery: probes alone say too little.
+        // A failure soon after a recovery shows that successful probes are not
+        // enough evidence of health, so the hold time doubles.
         let relapse = self
             .recovered
             .is_some_and(|at| now.since(at) < self.settings.max_hold);
         self.hold = if relapse {
             (self.hold * 2).min(self.settings.max_hold)
         } else {
-            self.settings.probe_every
+            self.settings.probe_interval
         };
         self.failing_since = Some(now);
         self.good_probes = 0;
-        self.next_probe = now + self.settings.probe_every;
+        self.next_probe = now + self.settings.probe_interval;
     }
 
-    /// Lets the upstream serve again.
+    /// Marks the upstream as serving.
     fn recover(&mut self, now: Time) {
         self.failing_since = None;
         self.recovered = Some(now);
--- a/crates/sapphirequayd/src/process/kv_cache_manager.rs
+++ b/crates/sapphirequayd/src/process/kv_cache_manager.rs
@@ -1,4 +1,4 @@
-//! Releases what the upstream holds for programs that have ended.
+//! Releases the KV cache blocks that the upstream holds for ended programs.
 
 use {
     crate::{
@@ -16,48 +16,51 @@
     },
 };
 
-/// Longest wait for a ledger host to say which programs have ended.
-const ASK_PATIENCE: Duration = Duration::from_secs(2);
+/// Time-out of a query to the ledger for ended programs.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Roots of one question to the ledger share this remainder, so that one group
-/// knows them all; the number of groups divides it.
+/// Number of slots by which programs are grouped into ledger queries. The
+/// program roots in one query are equal modulo this number, so that one ledger
+/// group stores all of them; the number of groups must divide it.
 const GROUP_SLOTS: u64 = 64;
 
-/// What the keeper is told.
+/// Messages to the KV cache manager.
 pub enum KvMsg {
-    /// A call of a program starts with these blocks in its prompt.
+    /// A call of a program has started; holds the hashes of its prompt blocks.
     CallStarted(ProgramId, Box<[u64]>),
     /// A call of a program has ended.
     CallEnded(ProgramId),
     /// A program has ended.
     ProgramEnded(ProgramId),
-    /// The ledger did not say which of these have ended; the next sweep asks again.
+    /// The query for ended programs has finished, so that the next sweep may
+    /// query again.
     QueryFinished,
 }
 
-/// What the keeper's worker does, since it may block.
+/// Blocking tasks, which run on the worker thread.
 enum KvTask {
-    /// Have the upstream drop blocks.
+    /// Release blocks at the upstream.
     Release(ProgramId, Box<[u64]>),
-    /// Ask the ledger which programs have ended.
-    Ask(Box<[ProgramId]>),
+    /// Query the ledger for programs that have ended.
+    QueryEnded(Box<[ProgramId]>),
 }
 
-/// Decides what the upstream keeps.
+/// Tracks the KV cache blocks of each program at the upstream and releases those
+/// of ended programs.
 pub struct KvCacheManager {
     retention: Retention,
     held: ProgramBlocks,
     tasks: Sender<KvTask>,
-    /// Whether the worker asks the ledger now.
-    sweeping: bool,
+    /// Whether a query to the ledger is in progress.
+    querying: bool,
 }
 
 impl KvCacheManager {
-    /// Starts the keeper of an engine and its worker.
+    /// Starts the manager for an engine, with its worker thread.
     ///
     /// # Errors
     ///
-    /// Fails if the system gives no thread.
+    /// Fails if a thread cannot be created.
     pub fn start(
         clock: Clock,
         sweep_interval: Duration,
@@ -66,41 +69,41 @@
     ) -> io::Result<Mailbox<KvMsg>> {
         let (tasks, queue) = mpsc::channel();
         let settings = RetentionSettings {
-            // Exports need room for the copies, which a sidecar does not have.
+            // Exported blocks need storage, which a sidecar does not have.
             export_after: Duration::ZERO,
             sweep_interval,
             ..RetentionSettings::default()
         };
-        let keeper = Self {
+        let manager = Self {
             retention: Retention::new(settings),
             held: ProgramBlocks::default(),
             tasks,
-            sweeping: false,
+            querying: false,
         };
-        let mailbox = spawn("kv-keeper", clock, keeper)?;
-        let back = mailbox.clone();
+        let mailbox = spawn("kv-cache", clock, manager)?;
+        let manager = mailbox.clone();
         thread::Builder::new()
             .name("kv-worker".into())
-            .spawn(move || work(&queue, &back, &engine, &ledger))?;
+            .spawn(move || run_worker(&queue, &manager, &engine, &ledger))?;
         Ok(mailbox)
     }
 
-    /// Hands what retention asks for to the worker.
+    /// Queues the actions of the retention policy for the worker.
     fn act(&mut self, actions: impl IntoIterator<Item = RetentionAction>) {
         for action in actions {
             let task = match action {
                 RetentionAction::Release(program) => {
                     KvTask::Release(program, self.held.remove(program))
                 }
-                RetentionAction::QueryEnded(programs) if !self.sweeping => {
-                    self.sweeping = true;
-                    KvTask::Ask(programs)
+                RetentionAction::QueryEnded(programs) if !self.querying => {
+                    self.querying = true;
+                    KvTask::QueryEnded(programs)
                 }
                 RetentionAction::QueryEnded(_)
                 | RetentionAction::Export(_)
                 | RetentionAction::Import(_) => continue,
             };
-            // The worker ends with the process only.
+            // Sending cannot fail: the worker runs until the process ends.
             let _ = self.tasks.send(task);
         }
     }
@@ -126,7 +129,7 @@
                 let action = self.retention.program_ended(program);
                 self.act(action);
             }
-            KvMsg::QueryFinished => self.sweeping = false,
+            KvMsg::QueryFinished => self.querying = false,
         }
     }
 
@@ -136,10 +139,10 @@
     }
 }
 
-/// Does tasks until the keeper is gone.
-fn work(
+/// Runs tasks until the manager has stopped.
+fn run_worker(
     queue: &Receiver<KvTask>,
-    keeper: &Mailbox<KvMsg>,
+    manager: &Mailbox<KvMsg>,
     engine: &EngineClient,
     ledger: &LedgerClient,
 ) {
@@ -152,29 +155,31 @@
                     blocks.len()
                 );
             }
-            KvTask::Ask(programs) => {
-                for ended in ask_ended(ledger, &programs) {
-                    keeper.send(KvMsg::ProgramEnded(ended));
+            KvTask::QueryEnded(programs) => {
+                for ended in query_ended(ledger, &programs) {
+                    manager.send(KvMsg::ProgramEnded(ended));
                 }
-                keeper.send(KvMsg::QueryFinished);
+                manager.send(KvMsg::QueryFinished);
             }
         }
     }
 }
 
-/// Asks the groups that know the programs; those of a group that does not
-/// answer are asked about again at the next sweep.
-fn ask_ended(ledger: &LedgerClient, programs: &[ProgramId]) -> Vec<ProgramId> {
+/// Queries the ledger groups for ended programs. Programs of a group that does
+/// not reply are queried again at the next sweep.
+fn query_ended(ledger: &LedgerClient, programs: &[ProgramId]) -> Vec<ProgramId> {
     let mut by_slot: IndexMap<u64, Vec<ProgramId>> = IndexMap::new();
     for program in programs {
         let slot = program.root % GROUP_SLOTS;
         by_slot.entry(slot).or_default().push(*program);
     }
     let mut ended = Vec::new();
-    for of_slot in by_slot.into_values() {
-        let req = LedgerRequest::Ended(of_slot.as_slice().into());
-        if let Ok(LedgerReply::Ended(some)) = ledger.request(of_slot[0], &req, ASK_PATIENCE) {
-            ended.extend(some);
+    for slot_programs in by_slot.into_values() {
+        let req = LedgerRequest::Ended(slot_programs.as_slice().into());
+        if let Ok(LedgerReply::Ended(group_ended)) =
+            ledger.request(slot_programs[0], &req, QUERY_TIMEOUT)
+        {
+            ended.extend(group_ended);
         }
     }
     ended
--- a/crates/sapphirequayd/src/process/ledger.rs
+++ b/crates/sapphirequayd/src/process/ledger.rs
@@ -1,4 +1,4 @@
-//! Answers the ledger requests of entries and sidecars.
+//! Serves the ledger requests of entries and sidecars.
 
 use {
     crate::process::{Clock, GroupError, GroupMsg, Mailbox},
@@ -7,25 +7,26 @@
     std::{thread, time::Duration},
 };
 
-/// Interval at which each group ends and forgets what is due.
-const EXPIRE_EVERY: Duration = Duration::from_secs(10);
+/// Interval between expiry commands, at which each group ends and removes
+/// programs that are due.
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(10);
 
-/// A group of programs.
+/// Mailbox of a replica of a program group.
 pub type ProgramGroup = Mailbox<GroupMsg<Ledger>>;
 
 /// The ledger role of one host: its replicas of the program groups.
 #[derive(Debug, Clone)]
 pub struct LedgerService {
-    /// By number, as [`ProgramId::group`] counts them.
+    /// Indexed by the number that [`ProgramId::group`] returns.
     groups: Box<[ProgramGroup]>,
 }
 
 impl LedgerService {
-    /// A service over the replicas of every program group.
+    /// Starts a service over the replicas of all program groups.
     ///
     /// # Errors
     ///
-    /// Fails if the system gives no thread.
+    /// Fails if the thread cannot be created.
     pub fn start(groups: impl Into<Box<[ProgramGroup]>>) -> std::io::Result<Self> {
         let service = Self {
             groups: groups.into(),
@@ -33,11 +34,12 @@
         let expiring = service.clone();
         thread::Builder::new()
             .name("ledger-expiry".into())
-            .spawn(move || expiring.expire())?;
+            .spawn(move || expiring.run_expiry())?;
         Ok(service)
     }
 
-    /// Carries out one request; blocks until it is durable or refused.
+    /// Executes one request; blocks until the result is durable or the request is
+    /// refused.
     pub fn serve(&self, req: LedgerRequest) -> LedgerReply {
         match req {
             LedgerRequest::Create(new) => self.propose(new.program, Op::Create(new)),
@@ -50,85 +52,90 @@
         }
     }
 
-    /// The group of a program.
+    /// Group that stores a program.
     fn group(&self, id: ProgramId) -> Option<&ProgramGroup> {
         let groups = u16::try_from(self.groups.len()).unwrap_or(u16::MAX);
         self.groups.get(usize::from(id.group(groups).0))
     }
 
-    /// Proposes a command with this host's wall time.
+    /// Proposes a command, stamped with the wall-clock time of this host.
     fn propose(&self, id: ProgramId, op: Op) -> LedgerReply {
         let command = Command {
             at_ms: Clock::wall_ms(),
             op,
         };
-        let asked = self
+        let result = self
             .group(id)
             .and_then(|group| group.ask(|reply| GroupMsg::Propose { command, reply }));
-        match asked {
-            Some(Ok(reply)) => of_reply(reply),
-            Some(Err(err)) => of_group_error(err),
-            // The group stopped with the command in its hands.
+        match result {
+            Some(Ok(reply)) => ledger_reply(reply),
+            Some(Err(err)) => reply_for_group_error(err),
+            // The replica stopped before it replied; the command may have been
+            // committed.
             None => LedgerReply::Unknown,
         }
     }
 
-    /// Asks a group from state that a quorum has confirmed.
+    /// Runs a linearizable query: the group answers from state that a quorum has
+    /// confirmed.
     fn read(&self, id: ProgramId, query: Query) -> LedgerReply {
-        let asked = self
+        let result = self
             .group(id)
             .and_then(|group| group.ask(|reply| GroupMsg::Read { query, reply }));
-        match asked {
+        match result {
             Some(Ok(Answer::Program(status))) => LedgerReply::Program(status),
             Some(Ok(Answer::Ended(ended))) => LedgerReply::Ended(ended),
             Some(Ok(Answer::Refused(err))) => LedgerReply::Refused(err),
-            Some(Err(err)) => of_group_error(err),
-            None => of_group_error(GroupError::Unavailable),
+            Some(Err(err)) => reply_for_group_error(err),
+            None => reply_for_group_error(GroupError::Unavailable),
         }
     }
 
-    /// Which programs have ended, of all groups. Groups that can't tell are
-    /// left out, so that nothing counts as ended by mistake.
+    /// Returns which of the programs have ended. Programs of a group that does
+    /// not answer are left out, so that no running program is reported as ended.
     fn ended(&self, ids: &[ProgramId]) -> LedgerReply {
         let groups = u16::try_from(self.groups.len()).unwrap_or(u16::MAX);
         if let Some(first) = ids.first().copied()
             && ids.iter().all(|id| id.group(groups) == first.group(groups))
         {
-            // Of one group, so that another host can be named that leads it.
+            // All programs belong to one group, so the reply can redirect to the
+            // leader of that group.
             return self.read(first, Query::Ended(ids.into()));
         }
         let mut ended = Vec::new();
         for number in 0..groups {
-            let of_group = ids.iter().filter(|id| id.group(groups).0 == number);
-            let of_group: Box<[_]> = of_group.copied().collect();
-            let Some(first) = of_group.first().copied() else {
+            let group_programs = ids.iter().filter(|id| id.group(groups).0 == number);
+            let group_programs: Box<[_]> = group_programs.copied().collect();
+            let Some(first) = group_programs.first().copied() else {
                 continue;
             };
-            if let LedgerReply::Ended(some) = self.read(first, Query::Ended(of_group)) {
-                ended.extend(some);
+            if let LedgerReply::Ended(group_ended) = self.read(first, Query::Ended(group_programs))
+            {
+                ended.extend(group_ended);
             }
         }
         LedgerReply::Ended(ended.into())
     }
 
-    /// Lets each group end and forget what is due, until the process ends.
-    fn expire(&self) {
+    /// Proposes an expiry command to each group at every interval, until the
+    /// process ends.
+    fn run_expiry(&self) {
         loop {
-            thread::sleep(EXPIRE_EVERY);
+            thread::sleep(EXPIRY_INTERVAL);
             for group in &self.groups {
                 let command = Command {
                     at_ms: Clock::wall_ms(),
                     op: Op::Expire,
                 };
-                // Only the leader's proposal counts; the others are refused.
+                // Every host proposes; only the leader's proposal is accepted.
                 let _ = group.ask(|reply| GroupMsg::Propose { command, reply });
             }
         }
     }
 }
 
-/// The reply to a command as the link carries it.
-fn of_reply(reply: Reply) -> LedgerReply {
+/// Converts the result of a command into a reply to the peer.
+fn ledger_reply(reply: Reply) -> LedgerReply {
     match reply {
         Reply::Created(id) => LedgerReply::Created(id),
         Reply::Begin(reply) => LedgerReply::Begin(reply),
@@ -138,8 +145,8 @@
     }
 }
 
-/// The reply where the group did not answer.
-fn of_group_error(err: GroupError) -> LedgerReply {
+/// Reply for a request that the group did not answer.
+fn reply_for_group_error(err: GroupError) -> LedgerReply {
     match err {
         GroupError::NotLeader(leader) => LedgerReply::Redirect(leader),
         GroupError::Unavailable => LedgerReply::Refused(Error::new(
--- a/crates/sapphirequayd/src/process/ledger_client.rs
+++ b/crates/sapphirequayd/src/process/ledger_client.rs
@@ -1,4 +1,5 @@
-//! Finds the leader of a program's ledger group and asks it.
+//! Client of the ledger: finds the leader of a program's group and sends
+//! requests to it.
 
 use {
     crate::wire::LinkRequest,
@@ -13,29 +14,29 @@
     },
 };
 
-/// Redirects that one round over the hosts follows.
+/// Number of redirects that are followed in one round over the hosts.
 const MAX_REDIRECTS: usize = 4;
 
-/// Pause after the first round that found no leader; doubles with each round.
-const FIRST_PAUSE: Duration = Duration::from_millis(20);
+/// Back-off after the first round that found no leader; doubles with each round.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Longest pause between two rounds.
-const MAX_PAUSE: Duration = Duration::from_millis(320);
+/// Longest back-off between rounds.
+const MAX_BACKOFF: Duration = Duration::from_millis(320);
 
-/// Slots of remembered leaders; programs of one slot share a group if the
-/// number of groups divides this.
+/// Number of slots in the leader cache. Programs of one slot belong to one group
+/// if the number of groups divides this number.
 const LEADER_SLOTS: u64 = 64;
 
-/// Why the ledger gave no answer.
+/// Reasons why a request to the ledger got no reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LedgerClientError {
-    /// The request was carried out nowhere and never will be.
+    /// The request was not executed and will not be.
     NotSent,
-    /// The request may have been carried out, or may yet be.
+    /// The request may have been executed, or may still be.
     Unknown,
 }
 
-/// Asks the ledger; clones share what is known of leaders.
+/// Sends requests to the ledger; clones share the leader cache.
 #[derive(Debug, Clone)]
 pub struct LedgerClient {
     links: Links,
@@ -43,18 +44,19 @@
     leaders: Arc<Mutex<IndexMap<u64, SocketAddr>>>,
 }
 
-/// Answer of one host.
-enum HostAnswer {
-    /// The leader's answer.
+/// Result of a request to one host.
+enum HostReply {
+    /// The reply of the leader.
     Answered(LedgerReply),
-    /// Nothing happened there; another host may lead.
-    Elsewhere(Option<SocketAddr>),
-    /// It may have been carried out.
+    /// The host did not execute the request; holds the address of the leader, if
+    /// known.
+    NotExecuted(Option<SocketAddr>),
+    /// The reply was lost; the request may have been executed.
     Lost,
 }
 
 impl LedgerClient {
-    /// A client of the ledger on `hosts`.
+    /// Creates a client of the ledger on `hosts`.
     #[must_use]
     pub fn new(links: Links, hosts: impl Into<Arc<[SocketAddr]>>) -> Self {
         Self {
@@ -64,40 +66,40 @@
         }
     }
 
-    /// Sends a request to the leader of the program's group, again while hosts
-    /// are lost or none leads, until `patience` is over. Every request is
-    /// idempotent by its key, so sending it again is safe.
+    /// Sends a request to the leader of the program's group, and retries until
+    /// `timeout` while hosts are unreachable or the group has no leader. Requests
+    /// are idempotent by their key, so retries are safe.
     ///
     /// # Errors
     ///
-    /// [`LedgerClientError`] says whether the request may have been carried out.
+    /// [`LedgerClientError`] tells whether the request may have been executed.
     pub fn request(
         &self,
         program: ProgramId,
         req: &LedgerRequest,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<LedgerReply, LedgerClientError> {
         let started = Instant::now();
-        let mut fault = LedgerClientError::NotSent;
-        let mut pause = FIRST_PAUSE;
+        let mut error = LedgerClientError::NotSent;
+        let mut backoff = INITIAL_BACKOFF;
         loop {
-            if let Some(reply) = self.round(program, req, &mut fault) {
+            if let Some(reply) = self.round(program, req, &mut error) {
                 return Ok(reply);
             }
-            if started.elapsed() + pause >= patience {
-                return Err(fault);
+            if started.elapsed() + backoff >= timeout {
+                return Err(error);
             }
-            thread::sleep(pause);
-            pause = (pause * 2).min(MAX_PAUSE);
+            thread::sleep(backoff);
+            backoff = (backoff * 2).min(MAX_BACKOFF);
         }
     }
 
-    /// Asks every host once, the likely leader first, and follows redirects.
+    /// Tries every host once, the cached leader first, and follows redirects.
     fn round(
         &self,
         program: ProgramId,
         req: &LedgerRequest,
-        fault: &mut LedgerClientError,
+        error: &mut LedgerClientError,
     ) -> Option<LedgerReply> {
         let slot = program.root % LEADER_SLOTS;
         let mut untried: Vec<_> = self.hosts.to_vec();
@@ -106,60 +108,60 @@
         while let Some(host) = next.or_else(|| untried.first().copied()) {
             untried.retain(|other| *other != host);
             next = None;
-            match self.ask_host(host, req) {
-                HostAnswer::Answered(reply) => {
-                    self.remember(slot, Some(host));
+            match self.request_from_host(host, req) {
+                HostReply::Answered(reply) => {
+                    self.cache_leader(slot, Some(host));
                     return Some(reply);
                 }
-                HostAnswer::Elsewhere(leader) if redirects < MAX_REDIRECTS => {
+                HostReply::NotExecuted(leader) if redirects < MAX_REDIRECTS => {
                     redirects += 1;
                     next = leader.filter(|leader| *leader != host);
                 }
-                HostAnswer::Elsewhere(_) => {}
-                HostAnswer::Lost => *fault = LedgerClientError::Unknown,
+                HostReply::NotExecuted(_) => {}
+                HostReply::Lost => *error = LedgerClientError::Unknown,
             }
-            self.remember(slot, None);
+            self.cache_leader(slot, None);
         }
         None
     }
 
-    /// Asks one host.
-    fn ask_host(&self, host: SocketAddr, req: &LedgerRequest) -> HostAnswer {
+    /// Sends the request to one host.
+    fn request_from_host(&self, host: SocketAddr, req: &LedgerRequest) -> HostReply {
         let req = LinkRequest::Ledger(req.clone());
         let mut stream = match self.links.open(host, LinkRole::Ledger, &req) {
             Ok(stream) => stream,
-            // Nothing was sent.
+            // The request was not sent.
             Err(LinkError::Connect(text)) => {
                 log::debug!("event=ledger_host_unreachable host={host} cause={text}");
-                return HostAnswer::Elsewhere(None);
+                return HostReply::NotExecuted(None);
             }
             Err(err) => {
                 log::warn!("event=ledger_request_lost host={host} cause={err:?}");
-                return HostAnswer::Lost;
+                return HostReply::Lost;
             }
         };
         match stream.recv() {
-            Ok(LedgerReply::Redirect(leader)) => HostAnswer::Elsewhere(leader),
+            Ok(LedgerReply::Redirect(leader)) => HostReply::NotExecuted(leader),
             Ok(LedgerReply::Refused(err)) if err.kind == ErrorKind::LedgerUnavailable => {
-                HostAnswer::Elsewhere(None)
+                HostReply::NotExecuted(None)
             }
-            Ok(LedgerReply::Unknown) => HostAnswer::Lost,
-            Ok(reply) => HostAnswer::Answered(reply),
+            Ok(LedgerReply::Unknown) => HostReply::Lost,
+            Ok(reply) => HostReply::Answered(reply),
             Err(err) => {
                 log::warn!("event=ledger_answer_lost host={host} cause={err:?}");
-                HostAnswer::Lost
+                HostReply::Lost
             }
         }
     }
 
-    /// Host that led the groups of a slot when last heard of.
+    /// Cached leader of the groups of a slot.
     fn leader(&self, slot: u64) -> Option<SocketAddr> {
         let leaders = self.leaders.lock().unwrap_or_else(PoisonError::into_inner);
         leaders.get(&slot).copied()
     }
 
-    /// Remembers or forgets the leader of a slot.
-    fn remember(&self, slot: u64, host: Option<SocketAddr>) {
+    /// Updates or clears the cached leader of a slot.
+    fn cache_leader(&self, slot: u64, host: Option<SocketAddr>) {
         let mut leaders = self.leaders.lock().unwrap_or_else(PoisonError::into_inner);
         match host {
             Some(host) => leaders.insert(slot, host),
@@ -169,29 +171,29 @@
 }
 
 impl LedgerClientError {
-    /// What went wrong, for a person.
+    /// Description of the failure.
     const fn text(self) -> &'static str {
         match self {
-            Self::NotSent => "no ledger host that leads can be reached",
-            Self::Unknown => "the ledger's answer was lost",
+            Self::NotSent => "the leader of the ledger group cannot be reached",
+            Self::Unknown => "the reply of the ledger was lost",
         }
     }
 
-    /// The error for a request whose earlier sends never ran.
+    /// Error for a request that was not executed by any earlier attempt.
     #[must_use]
     pub fn not_run_error(self) -> Error {
         Error::new(
             ErrorKind::LedgerUnavailable,
-            format!("{}; nothing was run", self.text()),
+            format!("{}; the request was not executed", self.text()),
         )
     }
 
-    /// The error for a request of which an earlier send may have run.
+    /// Error for a request that an earlier attempt may have executed.
     #[must_use]
     pub fn unreachable_error(self) -> Error {
         Error::new(
             ErrorKind::LedgerUnreachable,
-            format!("{}; send it again with the same key", self.text()),
+            format!("{}; resend the request with the same key", self.text()),
         )
     }
 }
--- a/crates/sapphirequayd/src/process/lifecycle.rs
+++ b/crates/sapphirequayd/src/process/lifecycle.rs
@@ -1,23 +1,23 @@
-//! Whether the process takes new requests, and how many are in progress.
+//! Drain state of the process and the number of requests in progress.
 
 use std::{
     sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError},
     time::{Duration, Instant},
 };
 
-/// What the process counts.
+/// State shared by the roles of the process.
 #[derive(Debug, Default)]
 struct State {
     draining: bool,
-    /// Requests that a [`InProgressGuard`] stands for.
+    /// Number of live [`InProgressGuard`]s.
     in_progress: u32,
 }
 
-/// Shared by every role of the process; clones see the same state.
+/// Drain state and request count of the process; clones share them.
 #[derive(Debug, Clone, Default)]
 pub struct Lifecycle(Arc<(Mutex<State>, Condvar)>);
 
-/// One request in progress, until it is dropped.
+/// Counts one request as in progress until the guard is dropped.
 #[derive(Debug)]
 pub struct InProgressGuard(Lifecycle);
 
@@ -27,7 +27,7 @@
         self.0.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Counts a new request; `None` while the process is leaving.
+    /// Counts a new request; returns `None` if the process is draining.
     #[must_use]
     pub fn begin(&self) -> Option<InProgressGuard> {
         let mut state = self.state();
@@ -38,25 +38,25 @@
         Some(InProgressGuard(self.clone()))
     }
 
-    /// Takes no new request from now on.
+    /// Starts draining: new requests are refused from now on.
     pub fn drain(&self) {
         self.state().draining = true;
     }
 
-    /// Whether the process is leaving.
+    /// Whether the process is draining.
     #[must_use]
     pub fn draining(&self) -> bool {
         self.state().draining
     }
 
-    /// Requests in progress.
+    /// Number of requests in progress.
     #[must_use]
     pub fn in_progress(&self) -> u32 {
         self.state().in_progress
     }
 
-    /// Waits until nothing is in progress, but not longer than `limit`;
-    /// returns the requests that still are.
+    /// Waits until no request is in progress, but at most for `limit`; returns the
+    /// number of requests still in progress.
     #[must_use]
     pub fn wait_idle(&self, limit: Duration) -> u32 {
         let until = Instant::now() + limit;
--- a/crates/sapphirequayd/src/process/log_writer.rs
+++ b/crates/sapphirequayd/src/process/log_writer.rs
@@ -1,4 +1,5 @@
-//! Log lines that wait for their output, within bounds.
+//! Writes log lines from a bounded queue on a dedicated thread, with a rate
+//! limit for each event.
 
 use {
     indexmap::IndexMap,
@@ -13,56 +14,60 @@
     },
 };
 
-/// Time for which lines are collected before they are written together; short
-/// against the seconds in which somebody reads them.
-const COLLECT: Duration = Duration::from_millis(25);
+/// Time for which lines are collected into one write. The delay is small
+/// compared to the seconds within which log lines are read.
+const BATCH_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Longest wait for the output when the process ends.
-const FLUSH_WITHIN: Duration = Duration::from_millis(300);
+/// Time-out of a flush, such as at the end of the process when the output
+/// blocks.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Name of lines that belong to no event.
+/// Event name under which lines without an event are counted.
 const NO_EVENT: &str = "none";
 
-/// Bounds on the volume of log lines.
+/// Limits on the volume of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LogLimits {
-    /// Lines of one event in a second; further ones are counted.
+    /// Number of lines written for one event in a second; further lines are
+    /// dropped and counted.
     pub lines_per_event_s: u32,
-    /// Lines that wait for their output; further ones are counted.
+    /// Number of lines that may wait in the queue; further lines are dropped and
+    /// counted.
     pub waiting_lines: usize,
 }
 
-/// What the writer is told.
+/// Messages to the writer thread.
 enum Job {
     Line(String),
     Flush(SyncSender<()>),
 }
 
-/// Lines of one event in the second at hand.
+/// Line counts of one event in the current second.
 #[derive(Debug, Default)]
-struct Window {
+struct EventCount {
     written: u32,
     left_out: u64,
 }
 
-/// Lines of all events in the second at hand.
+/// Line counts of all events in the current second.
 #[derive(Debug, Default)]
-struct Windows {
+struct EventCounts {
     second: u64,
-    /// By event; the events of the code are few.
-    events: IndexMap<Box<str>, Window>,
-    /// Lines for which there was no room.
+    /// By event name; not bounded, since the code uses a small fixed set of
+    /// events.
+    events: IndexMap<Box<str>, EventCount>,
+    /// Number of lines dropped because the queue was full.
     overflowed: u64,
 }
 
-/// Log lines on their way to an output that may block: who writes a line never
-/// waits.
+/// Writes log lines to an output that may block. Threads that log never wait for
+/// the output.
 #[derive(Debug)]
 pub struct LogWriter {
     jobs: SyncSender<Job>,
-    windows: Mutex<Windows>,
-    bounds: LogLimits,
-    began: Instant,
+    counts: Mutex<EventCounts>,
+    limits: LogLimits,
+    started: Instant,
 }
 
 impl LogWriter {
@@ -70,31 +75,31 @@
     ///
     /// # Errors
     ///
-    /// If there is no thread to be had.
-    pub fn start(out: impl Write + Send + 'static, bounds: LogLimits) -> io::Result<Self> {
-        let (jobs, queue) = sync_channel(bounds.waiting_lines.max(1));
+    /// Fails if the thread cannot be created.
+    pub fn start(out: impl Write + Send + 'static, limits: LogLimits) -> io::Result<Self> {
+        let (jobs, queue) = sync_channel(limits.waiting_lines.max(1));
         thread::Builder::new()
             .name("log".into())
             .spawn(move || write_all(out, &queue))?;
         Ok(Self {
             jobs,
-            windows: Mutex::default(),
-            bounds,
-            began: Instant::now(),
+            counts: Mutex::default(),
+            limits,
+            started: Instant::now(),
         })
     }
 
-    /// Takes a line, with the line feed that ends it.
+    /// Queues a line, which must end with a line feed.
     pub fn write_line(&self, line: String) {
-        self.write_line_at(self.began.elapsed().as_secs(), line);
+        self.write_line_at(self.started.elapsed().as_secs(), line);
     }
 
-    /// Takes a line in a second of the process's life.
+    /// Queues a line as of `second`, counted from the start of the writer.
     pub fn write_line_at(&self, second: u64, line: String) {
         let (summary, written) = {
-            let mut windows = self.windows();
-            let summary = windows.turn(second, stamp_of(&line));
-            (summary, windows.count(event_of(&line), self.bounds))
+            let mut counts = self.counts();
+            let summary = counts.advance(second, stamp_of(&line));
+            (summary, counts.count(event_of(&line), self.limits))
         };
         for line in summary {
             self.queue(line);
@@ -104,37 +109,37 @@
         }
     }
 
-    /// Waits a short time until what was taken is written.
+    /// Waits until the queued lines are written, but at most `FLUSH_TIMEOUT`.
     pub fn flush(&self) {
         let (done, written) = sync_channel(1);
         if self.jobs.try_send(Job::Flush(done)).is_ok() {
-            let _ = written.recv_timeout(FLUSH_WITHIN);
+            let _ = written.recv_timeout(FLUSH_TIMEOUT);
         }
     }
 
     fn queue(&self, line: String) {
         if self.jobs.try_send(Job::Line(line)).is_err() {
-            self.windows().overflowed += 1;
+            self.counts().overflowed += 1;
             metrics::counter!("sapphirequay_log_lines_left_out_total").increment(1);
         }
     }
 
-    fn windows(&self) -> MutexGuard<'_, Windows> {
-        self.windows.lock().unwrap_or_else(PoisonError::into_inner)
+    fn counts(&self) -> MutexGuard<'_, EventCounts> {
+        self.counts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Windows {
-    /// Begins another second: lines that tell what was left out in the last one.
-    /// `stamp` is the time that they bear.
-    fn turn(&mut self, second: u64, stamp: &str) -> Vec<String> {
+impl EventCounts {
+    /// Resets the counts when a new second begins and returns lines that report
+    /// the lines dropped before. Each returned line starts with `stamp`.
+    fn advance(&mut self, second: u64, stamp: &str) -> Vec<String> {
         if second == self.second {
             return Vec::new();
         }
         self.second = second;
         let mut lines = Vec::new();
-        for (event, window) in &mut self.events {
-            let Window { left_out, .. } = std::mem::take(window);
+        for (event, count) in &mut self.events {
+            let EventCount { left_out, .. } = std::mem::take(count);
             if left_out > 0 {
                 lines.push(format!(
                     "{stamp}level=WARN event=log_left_out of={event} lines={left_out}\n"
@@ -150,26 +155,27 @@
         lines
     }
 
-    /// Counts a line; `false` if it is one too many.
-    fn count(&mut self, event: &str, bounds: LogLimits) -> bool {
+    /// Counts a line; returns `false` if it exceeds the limit of its event.
+    fn count(&mut self, event: &str, limits: LogLimits) -> bool {
         if !self.events.contains_key(event) {
-            self.events.insert(event.into(), Window::default());
+            self.events.insert(event.into(), EventCount::default());
         }
-        let Some(window) = self.events.get_mut(event) else {
+        let Some(count) = self.events.get_mut(event) else {
             return true;
         };
-        let room = window.written < bounds.lines_per_event_s;
-        if room {
-            window.written += 1;
+        let within_limit = count.written < limits.lines_per_event_s;
+        if within_limit {
+            count.written += 1;
         } else {
-            window.left_out += 1;
+            count.left_out += 1;
             metrics::counter!("sapphirequay_log_lines_left_out_total").increment(1);
         }
-        room
+        within_limit
     }
 }
 
-/// The time of a line, with the space that ends it; nothing if it bears none.
+/// Returns the `time=` field at the start of a line with the space after it, or
+/// an empty string if the line has none.
 fn stamp_of(line: &str) -> &str {
     match line.split_once(' ') {
         Some((time, _)) if time.starts_with("time=") => &line[..=time.len()],
@@ -177,20 +183,20 @@
     }
 }
 
-/// The event of a line.
+/// Returns the event name of a line.
 fn event_of(line: &str) -> &str {
     let mut fields = line.split_ascii_whitespace();
     let event = fields.find_map(|field| field.strip_prefix("event="));
     event.unwrap_or(NO_EVENT)
 }
 
-/// Writes lines until nobody can put any more.
+/// Writes lines until the [`LogWriter`] is dropped.
 fn write_all(mut out: impl Write, queue: &Receiver<Job>) {
     let mut text = String::new();
     let mut flushed = Vec::new();
     while let Ok(first) = queue.recv() {
         if matches!(first, Job::Line(_)) {
-            thread::sleep(COLLECT);
+            thread::sleep(BATCH_INTERVAL);
         }
         for job in std::iter::once(first).chain(queue.try_iter()) {
             match job {
@@ -200,7 +206,7 @@
         }
         let written = out.write_all(text.as_bytes()).and_then(|()| out.flush());
         if written.is_err() {
-            // A line about it would go the same way.
+            // A log line about the failure would fail in the same way.
             metrics::counter!("sapphirequay_log_writes_failed_total").increment(1);
         }
         text.clear();
--- a/crates/sapphirequayd/src/process/mod.rs
+++ b/crates/sapphirequayd/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as the process: actors, roles and their threads.
+//! State with the lifetime of the process: actors, roles and their threads.
 
 mod actor;
 mod announcer;
--- a/crates/sapphirequayd/src/process/permits.rs
+++ b/crates/sapphirequayd/src/process/permits.rs
@@ -1,4 +1,4 @@
-//! The actor that holds a sidecar's permits.
+//! Runs the permit registry of a sidecar as an actor.
 
 use {
     crate::process::Actor,
@@ -7,21 +7,22 @@
     std::{sync::mpsc::SyncSender, time::Duration},
 };
 
-/// What the holder of permits is told.
+/// Messages to the permit registry.
 pub enum PermitMsg {
-    /// An attempt shows its permit; an error is the event to answer with.
+    /// Checks the permit of an attempt. An error is the event to send as the
+    /// answer to the attempt.
     Admit(Option<Permit>, SyncSender<Result<PermitId, CallEvent>>),
-    /// An admitted attempt was turned away before it ran.
+    /// An admitted attempt was refused before it ran.
     Refuse(PermitId),
-    /// An admitted attempt has ended.
+    /// An admitted attempt has ended, with its answer if one is to be stored.
     End(PermitId, Option<CallEvent>),
-    /// Somebody asks what became of a permit.
+    /// Asks for the status of a permit.
     Query {
-        /// The permit.
+        /// Id of the permit.
         id: PermitId,
-        /// Run of the sidecar that it was for.
+        /// Incarnation of the sidecar that the permit was issued for.
         incarnation: Incarnation,
-        /// Takes the answer.
+        /// Receives the status, and the answer of the attempt if it is stored.
         reply: SyncSender<(PermitStatus, Option<CallEvent>)>,
     },
 }
--- a/crates/sapphirequayd/src/process/prober.rs
+++ b/crates/sapphirequayd/src/process/prober.rs
@@ -1,4 +1,5 @@
-//! Shares an upstream's health between attempts, the announcer and the prober.
+//! Probes a failing upstream, and shares its health between attempts, announcer
+//! and prober.
 
 use {
     crate::process::{Clock, Health, HealthSettings},
@@ -11,10 +12,10 @@
     },
 };
 
-/// Interval at which the prober looks whether a probe is due.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+/// Interval at which the prober checks whether a probe is due.
+const DUE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Longest time that a probe takes.
+/// Time-out of a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Health of the upstream; clones share it.
@@ -25,7 +26,7 @@
 }
 
 impl SharedHealth {
-    /// Health of an upstream of which nothing is known.
+    /// Creates the health of an upstream with no recorded outcomes.
     #[must_use]
     pub fn new(clock: Clock) -> Self {
         let health = Health::new(HealthSettings::default());
@@ -35,17 +36,17 @@
         }
     }
 
-    /// Locks the machine.
+    /// Locks the health.
     fn lock(&self) -> MutexGuard<'_, Health> {
         self.health.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes the outcome of a request.
+    /// Records the outcome of a request.
     pub fn record_outcome(&self, good: bool) {
         self.lock().record_outcome(self.clock.now(), good);
     }
 
-    /// The state to announce, given what the gate says.
+    /// State to announce, given the state reported by the admission gate.
     #[must_use]
     pub fn state(&self, gate: UpstreamState) -> UpstreamState {
         match gate {
@@ -58,14 +59,14 @@
     ///
     /// # Errors
     ///
-    /// Fails if the system gives no thread.
+    /// Fails if the thread cannot be created.
     pub fn start_prober(&self, url: Box<str>) -> io::Result<()> {
         let health = self.clone();
         thread::Builder::new()
             .name("prober".into())
             .spawn(move || {
                 loop {
-                    thread::sleep(LOOK_EVERY);
+                    thread::sleep(DUE_CHECK_INTERVAL);
                     let due = health.lock().probe_due(health.clock.now());
                     if due {
                         let good = probe(&url);
@@ -78,7 +79,7 @@
     }
 }
 
-/// Whether the upstream answers at all; an error status is an answer.
+/// Probes the upstream: any response with a status below 500 counts as success.
 fn probe(url: &str) -> bool {
     let sent = ureq::AgentBuilder::new()
         .timeout(PROBE_TIMEOUT)
--- a/crates/sapphirequayd/src/process/router.rs
+++ b/crates/sapphirequayd/src/process/router.rs
@@ -11,16 +11,16 @@
     std::{net::SocketAddr, sync::mpsc::SyncSender, time::Duration},
 };
 
-/// The upstream that an attempt goes to.
+/// The upstream selected for an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Pick {
-    /// The upstream.
+    /// Id of the upstream.
     pub upstream: UpstreamId,
-    /// Run of its sidecar.
+    /// Incarnation of its sidecar; changes with each restart.
     pub incarnation: Incarnation,
     /// Address of its sidecar.
     pub addr: SocketAddr,
-    /// Leading blocks of the prompt that it is believed to hold.
+    /// Number of leading prompt blocks expected in its prefix cache.
     pub cached_blocks: u32,
 }
 
@@ -35,55 +35,58 @@
     }
 }
 
-/// What an attempt is to the budgets of retries.
+/// How an attempt counts against the retry budgets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptKind {
-    /// The call's first attempt, which earns a share of a retry.
+    /// The first attempt of a call, which adds a fraction of a retry to the
+    /// budgets.
     First,
-    /// Another attempt after one that did not run, which costs nothing.
+    /// An attempt after one that did not run; costs no budget.
     Reroute,
-    /// Another attempt after one that was lost, which the budgets must cover.
+    /// An attempt after one that was lost; the budgets must cover it.
     Retry,
 }
 
 /// A call that needs an upstream.
 #[derive(Debug, Clone)]
 pub struct PickRequest {
-    /// What is to be run.
+    /// Model or service to call.
     pub target: CallTarget,
-    /// Account that pays.
+    /// Account that is charged for the call.
     pub account: AccountId,
-    /// Program of the call.
+    /// Program that the call belongs to.
     pub program: ProgramId,
     /// Whether the program may have made calls before.
     pub has_history: bool,
-    /// Length of the prompt.
+    /// Length of the prompt, in tokens.
     pub prompt: Tokens,
     /// Chained hashes of the prompt's blocks.
     pub blocks: Box<[u64]>,
-    /// Upstreams that refused or failed this call.
+    /// Upstreams that were already tried for this call.
     pub tried: Box<[UpstreamId]>,
-    /// What the attempt is to the budgets of retries.
+    /// How the attempt counts against the retry budgets.
     pub attempt: AttemptKind,
-    /// A random number.
+    /// Random number used by the routing policy.
     pub random: u64,
 }
 
-/// What the router is told.
+/// Messages to the router.
 pub enum RouterMsg {
-    /// The directory as it was last read.
+    /// Replaces the directory by the entries read last.
     Directory(Box<[DirectoryEntry]>),
-    /// Asks for an upstream; `None` if none fits or no budget covers a retry.
+    /// Asks for an upstream for an attempt; `None` if no upstream is suitable or
+    /// the retry budgets do not cover the attempt.
     Pick(PickRequest, SyncSender<Option<Pick>>),
-    /// Asks where the sidecar of an upstream is.
+    /// Asks for the sidecar of a given upstream; `None` if it is not known.
     Find(UpstreamId, SyncSender<Option<Pick>>),
-    /// An upstream found this many leading blocks of a prompt in its cache.
+    /// Reports how many leading blocks of a prompt an upstream found in its
+    /// prefix cache.
     CacheObserved {
-        /// Where the attempt ran, and what was expected there.
+        /// Upstream that ran the attempt, with the expected number of blocks.
         pick: Pick,
         /// Chained hashes of the prompt's blocks.
         blocks: Box<[u64]>,
-        /// Leading blocks that were found.
+        /// Number of leading blocks that were found.
         cached_blocks: u32,
     },
     /// An attempt has ended.
@@ -97,7 +100,7 @@
 }
 
 impl Router {
-    /// A router of an entry in a data centre.
+    /// Creates a router for an entry in `data_centre`.
     pub fn new(route: RouteSettings, retry: RetrySettings, data_centre: &str) -> Self {
         Self {
             policy: quay_policy::Router::new(route, data_centre),
@@ -105,16 +108,17 @@
         }
     }
 
-    /// Takes the directory as it was last read.
-    fn learn(&mut self, now: Time, entries: &[DirectoryEntry]) {
+    /// Updates the routing policy with the directory entries read last.
+    fn apply_directory(&mut self, now: Time, entries: &[DirectoryEntry]) {
         let listed: Vec<_> = entries
             .iter()
             .map(|entry| entry.announcement.upstream())
             .collect();
         self.policy.retain_only(&listed);
         for entry in entries {
-            let made = now - Duration::from_millis(entry.age_ms.into());
-            self.policy.apply_announcement(made, &entry.announcement);
+            let announced_at = now - Duration::from_millis(entry.age_ms.into());
+            self.policy
+                .apply_announcement(announced_at, &entry.announcement);
         }
     }
 
@@ -156,7 +160,7 @@
 
     fn handle(&mut self, now: Time, msg: RouterMsg) {
         match msg {
-            RouterMsg::Directory(entries) => self.learn(now, &entries),
+            RouterMsg::Directory(entries) => self.apply_directory(now, &entries),
             RouterMsg::Pick(req, reply) => {
                 let _ = reply.send(self.pick(now, &req));
             }
--- a/crates/sapphirequayd/src/process/subscription.rs
+++ b/crates/sapphirequayd/src/process/subscription.rs
@@ -1,4 +1,4 @@
-//! Keeps a daemon's rules up to what the control group has in force.
+//! Polls the control group and puts new configuration into force in the daemon.
 
 use {
     crate::{
@@ -11,45 +11,46 @@
     std::{io, sync::Arc, thread, time::Duration},
 };
 
-/// Interval at which a daemon asks for what is in force.
-const POLL_EVERY: Duration = Duration::from_secs(1);
+/// Interval at which a daemon polls for the configuration in force.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A daemon that follows the control group.
+/// Subscription of a daemon to the configuration of the control group.
 #[derive(Debug)]
 pub struct Subscription {
-    /// Name that the daemon reports its index under.
+    /// Daemon name sent with each poll.
     pub daemon: Box<str>,
-    /// The control group.
+    /// Client of the control group.
     pub client: ControlClient,
-    /// The rules to replace.
+    /// Holder of the rules in force, which each new version replaces.
     pub current: Current,
 }
 
 impl Subscription {
-    /// Follows until the process ends; `changed` hears of each new version.
+    /// Starts a thread that polls until the process ends and calls `changed`
+    /// with each new version.
     ///
     /// # Errors
     ///
-    /// Fails if the system gives no thread.
+    /// Fails if the thread cannot be created.
     pub fn start(self, changed: impl Fn(&Rules) + Send + 'static) -> io::Result<()> {
         thread::Builder::new()
             .name("config-subscriber".into())
-            .spawn(move || self.follow(&changed))?;
+            .spawn(move || self.run(&changed))?;
         Ok(())
     }
 
-    /// Asks again and again.
-    fn follow(mut self, changed: &impl Fn(&Rules)) {
+    /// Polls in a loop.
+    fn run(mut self, changed: &impl Fn(&Rules)) {
         let mut subscriber = Subscriber::default();
-        let mut pacer = Pacer::new(POLL_EVERY);
-        let mut waited = String::new();
+        let mut pacer = Pacer::new(POLL_INTERVAL);
+        let mut blocked_reason_logged = String::new();
         loop {
-            let event = self.round(&mut subscriber);
+            let event = self.poll(&mut subscriber);
             pacer.record_outcome(event.is_some());
-            if subscriber.blocked_reason() != waited {
-                waited = subscriber.blocked_reason().into();
+            if subscriber.blocked_reason() != blocked_reason_logged {
+                blocked_reason_logged = subscriber.blocked_reason().into();
                 log::warn!(
-                    "event=config_waits index={} cause={waited:?}",
+                    "event=config_waits index={} cause={blocked_reason_logged:?}",
                     subscriber.image().index
                 );
                 self.publish(&subscriber);
@@ -59,7 +60,8 @@
                     log::info!("event=config_in_force index={index}");
                     changed(&self.publish(&subscriber));
                 }
-                // The next answer comes with everything.
+                // Poll again at once: the next reply holds the whole
+                // configuration.
                 Some(SubscriberEvent::Resync) => continue,
                 Some(SubscriberEvent::Stale(index)) => log::warn!(
                     "event=config_older index={} offered={index}",
@@ -71,27 +73,27 @@
         }
     }
 
-    /// Asks once; `None` if nobody answered.
-    fn round(&mut self, subscriber: &mut Subscriber) -> Option<SubscriberEvent> {
+    /// Polls once; returns `None` if no host sent an update.
+    fn poll(&mut self, subscriber: &mut Subscriber) -> Option<SubscriberEvent> {
         let req = ControlRequest::Poll {
             daemon: self.daemon.clone(),
             poll: subscriber.poll(),
         };
         match self.client.request(req) {
-            // The host answers from what a quorum has confirmed, or not at all.
+            // Hosts send an update only from state that a quorum has confirmed.
             Ok(ControlReply::Update(update)) => Some(subscriber.receive(update, true)),
             Ok(_) => {
-                subscriber.record_no_answer("a ledger host answered something else");
+                subscriber.record_no_answer("a ledger host sent an unexpected reply");
                 None
             }
-            Err(fault) => {
-                subscriber.record_no_answer(fault);
+            Err(error) => {
+                subscriber.record_no_answer(error);
                 None
             }
         }
     }
 
-    /// Puts what the subscriber holds into force in this process.
+    /// Puts the configuration of the subscriber into force in this process.
     fn publish(&self, subscriber: &Subscriber) -> Arc<Rules> {
         let rules = Arc::new(Rules::of(subscriber));
         self.current.set(Arc::clone(&rules));
--- a/crates/sapphirequayd/src/process/telemetry.rs
+++ b/crates/sapphirequayd/src/process/telemetry.rs
@@ -1,23 +1,24 @@
-//! Metrics of the process in Prometheus text.
+//! Records metrics of the process and renders them in the Prometheus text
+//! format.
 
 use {
     metrics_exporter_prometheus::{PrometheusBuilder, PrometheusHandle},
     std::{sync::OnceLock, thread, time::Duration},
 };
 
-/// Bounds of the buckets of every duration, in seconds.
+/// Upper bounds of the buckets of duration histograms, in seconds.
 const BUCKETS_S: &[f64] = &[
     0.001, 0.002, 0.005, 0.01, 0.02, 0.036, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0, 60.0,
 ];
 
-/// Interval at which recorded times are put into their buckets; until then each
-/// takes eight bytes.
-const UPKEEP_EVERY: Duration = Duration::from_secs(5);
+/// Interval at which recorded durations are moved into histogram buckets; until
+/// then each duration occupies eight bytes.
+const UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The recorder's handle; one a process, whatever the number of roles.
+/// Handle of the metrics recorder, which all roles of the process share.
 static HANDLE: OnceLock<PrometheusHandle> = OnceLock::new();
 
-/// Starts to record. Further calls change nothing.
+/// Installs the metrics recorder. Further calls have no effect.
 pub fn start() {
     HANDLE.get_or_init(|| {
         let builder = PrometheusBuilder::new();
@@ -27,19 +28,19 @@
         if metrics::set_global_recorder(recorder).is_err() {
             log::warn!("event=metrics_off cause=\"another recorder is installed\"");
         }
-        keep_up(handle.clone());
+        start_upkeep(handle.clone());
         handle
     });
 }
 
-/// Puts recorded times into their buckets again and again, also where nobody
-/// reads them: until then each takes memory.
-fn keep_up(handle: PrometheusHandle) {
+/// Starts a thread that moves recorded durations into histogram buckets, so that
+/// memory stays bounded even if the metrics are never read.
+fn start_upkeep(handle: PrometheusHandle) {
     let started = thread::Builder::new()
         .name("metrics".into())
         .spawn(move || {
             loop {
-                thread::sleep(UPKEEP_EVERY);
+                thread::sleep(UPKEEP_INTERVAL);
                 handle.run_upkeep();
             }
         });
@@ -48,7 +49,7 @@
     }
 }
 
-/// Every metric in Prometheus text.
+/// Renders all metrics in the Prometheus text format.
 #[must_use]
 pub fn render() -> String {
     let Some(handle) = HANDLE.get() else {
--- a/crates/sapphirequayd/tests/log_lines.rs
+++ b/crates/sapphirequayd/tests/log_lines.rs
@@ -1,4 +1,5 @@
-//! Log lines stay within bounds and never hold up who writes them.
+//! The log writer limits the volume of log lines and never blocks the threads
+//! that log.
 
 use {
     sapphirequayd::{LogLimits, LogWriter},
@@ -11,13 +12,16 @@
     },
 };
 
-/// Keeps what is written.
+/// Captures the output in memory.
 #[derive(Clone, Default)]
-struct Kept(Arc<Mutex<Vec<u8>>>);
+struct Captured(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Kept {
+impl Write for Captured {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
-        self.0.lock().expect("kept").extend_from_slice(buf);
+        self.0
+            .lock()
+            .expect("unpoisoned lock")
+            .extend_from_slice(buf);
         Ok(buf.len())
     }
 
@@ -26,16 +30,16 @@
     }
 }
 
-impl Kept {
+impl Captured {
     fn text(&self) -> String {
-        String::from_utf8(self.0.lock().expect("kept").clone()).expect("text")
+        String::from_utf8(self.0.lock().expect("unpoisoned lock").clone()).expect("UTF-8 text")
     }
 }
 
-/// Blocks until it is released, as a pipe does that nobody reads.
-struct Blocked(Receiver<()>);
+/// Output that blocks until the sender is dropped, like a pipe without a reader.
+struct BlockedOutput(Receiver<()>);
 
-impl Write for Blocked {
+impl Write for BlockedOutput {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
         let _ = self.0.recv();
         Ok(buf.len())
@@ -46,30 +50,31 @@
     }
 }
 
-const BOUNDS: LogLimits = LogLimits {
+const LIMITS: LogLimits = LogLimits {
     lines_per_event_s: 3,
     waiting_lines: 100,
 };
 
-fn put(lines: &LogWriter, second: u64, line: &str) {
-    lines.write_line_at(second, format!("{line}\n"));
+fn write_line(writer: &LogWriter, second: u64, line: &str) {
+    writer.write_line_at(second, format!("{line}\n"));
 }
 
 #[test]
-fn lines_of_one_event_are_bounded_and_counted_and_leave_room_for_others() {
-    let kept = Kept::default();
-    let lines = LogWriter::start(kept.clone(), BOUNDS).expect("thread");
+fn lines_of_one_event_are_limited_and_counted_without_affecting_other_events() {
+    let captured = Captured::default();
+    let writer = LogWriter::start(captured.clone(), LIMITS).expect("start the log writer");
     for number in 0..10 {
-        put(&lines, 0, &format!("event=busy id={number}"));
+        write_line(&writer, 0, &format!("event=busy id={number}"));
     }
-    put(&lines, 0, "event=rare id=1");
-    put(&lines, 0, "no event at all");
-    // The next second has room again, and tells what was left out before.
-    put(&lines, 1, "time=t1 event=busy id=10");
-    put(&lines, 2, "event=busy id=11");
-    lines.flush();
+    write_line(&writer, 0, "event=rare id=1");
+    write_line(&writer, 0, "no event at all");
+    // The limit starts afresh in the next second, whose first line is preceded
+    // by a report of the lines dropped before.
+    write_line(&writer, 1, "time=t1 event=busy id=10");
+    write_line(&writer, 2, "event=busy id=11");
+    writer.flush();
     assert_eq!(
-        kept.text(),
+        captured.text(),
         "event=busy id=0\nevent=busy id=1\nevent=busy id=2\nevent=rare id=1\nno event at all\n\
          time=t1 level=WARN event=log_left_out of=busy lines=7\ntime=t1 event=busy id=10\n\
          event=busy id=11\n"
@@ -77,16 +82,17 @@
 }
 
 #[test]
-fn an_output_that_blocks_holds_nobody_up() {
+fn an_output_that_blocks_does_not_block_logging() {
     let (release, blocked): (Sender<()>, _) = channel();
-    let bounds = LogLimits {
+    let limits = LogLimits {
         lines_per_event_s: 100_000,
-        ..BOUNDS
+        ..LIMITS
     };
-    let lines = LogWriter::start(Blocked(blocked), bounds).expect("thread");
-    // Far more than may wait; this would not return if a line waited.
+    let writer = LogWriter::start(BlockedOutput(blocked), limits).expect("start the log writer");
+    // Far more lines than the queue holds: the loop would not end if a full
+    // queue blocked.
     for number in 0..10_000 {
-        put(&lines, 0, &format!("event=busy id={number}"));
+        write_line(&writer, 0, &format!("event=busy id={number}"));
     }
     drop(release);
 }
