--- a/crates/sapphirequayd/src/process/subscription.rs
+++ b/crates/sapphirequayd/src/process/subscription.rs
@@ -43,14 +43,14 @@
     fn run(mut self, changed: &impl Fn(&Rules)) {
         let mut subscriber = Subscriber::default();
         let mut pacer = Pacer::new(POLL_INTERVAL);
-        let mut blocked_reason_logged = String::new();
+        let mut logged_reason = String::new();
         loop {
             let event = self.poll(&mut subscriber);
             pacer.record_outcome(event.is_some());
-            if subscriber.blocked_reason() != blocked_reason_logged {
-                blocked_reason_logged = subscriber.blocked_reason().into();
+            if subscriber.blocked_reason() != logged_reason {
+                logged_reason = subscriber.blocked_reason().into();
                 log::warn!(
-                    "event=config_waits index={} cause={blocked_reason_logged:?}",
+                    "event=config_waits index={} cause={logged_reason:?}",
                     subscriber.image().index
                 );
                 self.publish(&subscriber);
--- a/crates/sapphirequayd/tests/log_lines.rs
+++ b/crates/sapphirequayd/tests/log_lines.rs
@@ -32,7 +32,7 @@
 
 impl Captured {
     fn text(&self) -> String {
-        String::from_utf8(self.0.lock().expect("unpoisoned lock").clone()).expect("UTF-8 text")
+        String::from_utf8(self.0.lock().expect("unpoisoned lock").clone()).expect("text")
     }
 }
 
