--- a/crates/sapphirequayd/src/gateway/control/leader_state.rs
+++ b/crates/sapphirequayd/src/gateway/control/leader_state.rs
@@ -2,7 +2,7 @@
 
 use {
     super::state::ControlState,
-    crate::gateway::messages::{ControlCommand, Mark, News},
+    crate::gateway::messages::{ControlCommand, ControlUpdate, FollowerState},
     indexmap::{IndexMap, IndexSet},
     quay_members::{Changes, Directory, Heartbeat, MembersReply, MembersSettings},
     quay_quorum::{Member, Membership},
@@ -194,7 +194,7 @@
     // Followers
 
     /// Update for a follower whose state is `mark`; `None` if it is up to date.
-    pub fn update_for(&mut self, now: Time, mark: &Mark) -> Option<News> {
+    pub fn update_for(&mut self, now: Time, mark: &FollowerState) -> Option<ControlUpdate> {
         self.followers.insert(mark.link, now);
         let directory = self.directory.changes(now, &mark.directory);
         let held = self.state.table.as_ref();
@@ -205,7 +205,7 @@
         if is_empty(&directory) && table.is_none() && stores.is_none() {
             return None;
         }
-        Some(News {
+        Some(ControlUpdate {
             version: self.state.version,
             table,
             stores,
@@ -217,8 +217,8 @@
 
     /// Update without table and stores, which shows a follower that the leader is
     /// alive.
-    pub fn empty_update(&mut self, now: Time, mark: &Mark) -> News {
-        News {
+    pub fn empty_update(&mut self, now: Time, mark: &FollowerState) -> ControlUpdate {
+        ControlUpdate {
             version: self.state.version,
             table: None,
             stores: None,
--- a/crates/sapphirequayd/src/gateway/store/copy.rs
+++ b/crates/sapphirequayd/src/gateway/store/copy.rs
@@ -179,5 +179,7 @@
     };
     let req = LinkRequest::Gateway(GatewayRequest::Store(req));
     let source = (source.addr, LinkRole::Ledger);
-    exchange(&host.links, source, &req, SOURCE_TIMEOUT).await.ok()
+    exchange(&host.links, source, &req, SOURCE_TIMEOUT)
+        .await
+        .ok()
 }
--- a/crates/sapphirequayd/src/gateway/store/host.rs
+++ b/crates/sapphirequayd/src/gateway/store/host.rs
@@ -308,7 +308,10 @@
             };
             let reply = self
                 .client
-                .request(ControlRequest::AnnounceStore(announcement), ANNOUNCE_TIMEOUT)
+                .request(
+                    ControlRequest::AnnounceStore(announcement),
+                    ANNOUNCE_TIMEOUT,
+                )
                 .await;
             if let Some(ControlReply::Stores(view)) = reply {
                 self.apply_view(view).await;
--- a/crates/sapphirequayd/src/lib.rs
+++ b/crates/sapphirequayd/src/lib.rs
@@ -21,16 +21,18 @@
 
 pub use {
     gateway::{
-        ControlCommand, ControlState, ConversationCache, EventReader, GatewayRequest, MembershipInputs,
-        PathProbe, StartupWait, StoreOp, StorePath, StoreReply, StoreRequest, StreamEnd, TableDocument,
-        UPSTREAM_DISCONNECTED, UpstreamOutcome, next_membership_change, run as run_gateway, upstream_outcome,
+        ControlCommand, ControlState, ConversationCache, EventReader, GatewayRequest,
+        MembershipInputs, PathProbe, StartupWait, StoreOp, StorePath, StoreReply, StoreRequest,
+        StreamEnd, TableDocument, UPSTREAM_DISCONNECTED, UpstreamOutcome, next_membership_change,
+        run as run_gateway, upstream_outcome,
     },
     process::{
-        Actor, ChangeError, Clock, ControlClient, ControlError, ControlReply,
-        ControlRequest, ControlStatus, Daemon, GroupBackup, GroupCopy, GroupError, GroupEvent,
-        GroupHost, GroupLimits, GroupMsg, GroupStartError, Health, InMemoryGroup, HealthSettings,
-        InProgressGuard, Lifecycle, LogLimits, LogWriter, Mailbox, MembershipChangeError, MemberRow,
-        OperatorCommand, PeerFrame, QuorumReply, QuorumRequest, StartError, backup, restore, spawn,
+        Actor, BackupError, Clock, ControlClient, ControlError, ControlReply, ControlRequest,
+        ControlStatus, Daemon, DaemonRow, GroupBackup, GroupError, GroupEvent, GroupHost,
+        GroupLimits, GroupMsg, GroupStartError, Health, HealthSettings, InMemoryGroup,
+        InProgressGuard, Lifecycle, LogLimits, LogWriter, Mailbox, MemberRow,
+        MembershipChangeError, OperatorCommand, PeerFrame, QuorumReply, QuorumRequest, StartError,
+        backup, restore, spawn,
     },
     request::{
         ResponseText, StreamAction, StreamTracker, StreamTrackerSettings, TextUpdate,
--- a/crates/sapphirequayd/tests/gateway_parts.rs
+++ b/crates/sapphirequayd/tests/gateway_parts.rs
@@ -6,9 +6,9 @@
     quay_quorum::{Member, Membership, MembershipChange, StateMachine as _},
     quay_types::{Epoch, Incarnation, LogIndex, NodeId, Time, TurnId},
     sapphirequayd::{
-        ControlCommand, ControlState, ConversationCache, EventReader, MembershipInputs, PathProbe, StartupWait,
-        StorePath, StreamEnd, TableDocument, UPSTREAM_DISCONNECTED, UpstreamOutcome, next_membership_change,
-        upstream_outcome,
+        ControlCommand, ControlState, ConversationCache, EventReader, MembershipInputs, PathProbe,
+        StartupWait, StorePath, StreamEnd, TableDocument, UPSTREAM_DISCONNECTED, UpstreamOutcome,
+        next_membership_change, upstream_outcome,
     },
 };
 
