--- a/crates/sapphirequayd/src/gateway/front/refusal.rs
+++ b/crates/sapphirequayd/src/gateway/front/refusal.rs
@@ -57,7 +57,7 @@
     StoresUnsure => "stores_unsure", 503, Some(250);
     /// No upstream currently serves the route's service.
     NoUpstream => "no_upstream", 503, Some(250);
-    /// Upstreams were tried, and each of them did not run the request.
+    /// Upstreams were unreachable or did not run the request.
     UpstreamsFull => "upstreams_full", 503, Some(120);
     /// The deadline passed before an upstream received the request.
     TooLate => "too_late", 503, Some(100);
