--- a/crates/sapphirequayd/src/gateway/store/client.rs
+++ b/crates/sapphirequayd/src/gateway/store/client.rs
@@ -204,24 +204,24 @@
     /// Probes a path: any reply of any store shows that the path works.
     async fn probe_path(&self, probe: PathProbe) {
         let view = self.view();
-        let relay = match probe {
+        let through = match probe {
             PathProbe::Relay(front) => Some(front),
             PathProbe::Direct => None,
         };
         for member in &view.members {
             let req = request(&view, member, StoreOp::Chain(TurnId(0)));
             let reply = self
-                .ask_through(relay, member.addr, req, PROBE_TIMEOUT)
+                .ask_through(through, member.addr, req, PROBE_TIMEOUT)
                 .await;
             match reply {
                 Ok(_) => {
                     if self.store_path.borrow_mut().record_success(probe) {
-                        log::warn!("event=stores_way through={relay:?}");
+                        log::warn!("event=stores_way through={through:?}");
                     }
                     return;
                 }
                 Err(err) => log::debug!(
-                    "event=stores_way_tried through={relay:?} store={} cause={err:?}",
+                    "event=stores_way_tried through={through:?} store={} cause={err:?}",
                     member.identity
                 ),
             }
--- a/crates/sapphirequayd/src/gateway/store/copy.rs
+++ b/crates/sapphirequayd/src/gateway/store/copy.rs
@@ -89,7 +89,7 @@
     ask_source(host, source, StoreOp::FenceEpoch).await == Some(StoreReply::Synced)
 }
 
-/// Copies the turns that only the source holds, and all its charges.
+/// Copies the turns that this store lacks, and all charges of the source.
 async fn copy_source(host: &StoreHost, source: &CopySource) -> bool {
     let (mut turns, mut programs, mut copied) = (0, 0, 0);
     loop {
