--- a/crates/sapphirequayd/tests/common/gateway.rs
+++ b/crates/sapphirequayd/tests/common/gateway.rs
@@ -1,4 +1,4 @@
-//! A gateway as processes that a test may kill, and a stand-in of an upstream.
+//! Gateway of separate processes that a test can kill, and a stub upstream.
 
 use {
     crate::ports::free_port,
@@ -17,25 +17,26 @@
 
 const LOOPBACK: (Ipv4Addr, u16) = (Ipv4Addr::LOCALHOST, 0);
 
-/// What a process of a gateway does.
+/// Role of a gateway process, with its index among the processes of that role.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Part {
+pub enum Role {
     Control(usize),
     Store(usize),
     Front(usize),
 }
 
-/// Three control hosts, three stores and two fronts.
+/// Gateway of three control hosts, three stores and two fronts.
 pub struct Gateway {
     pub controls: Vec<SocketAddr>,
     pub fronts: Vec<SocketAddr>,
-    /// Where the first front tells its metrics.
+    /// Address at which the first front serves its metrics.
     pub monitor: SocketAddr,
-    links: Vec<SocketAddr>,
-    /// Links of fronts and stores.
+    control_links: Vec<SocketAddr>,
+    /// Link addresses of fronts.
     pub front_links: Vec<SocketAddr>,
+    /// Link addresses of stores.
     pub store_links: Vec<SocketAddr>,
-    children: Vec<(Part, Child)>,
+    children: Vec<(Role, Child)>,
     folder: TempDir,
 }
 
@@ -50,46 +51,46 @@
             controls: (0..3).map(|_| free_port()).collect(),
             fronts: (0..2).map(|_| free_port()).collect(),
             monitor: free_port(),
-            links: (0..3).map(|_| free_port()).collect(),
+            control_links: (0..3).map(|_| free_port()).collect(),
             front_links: (0..2).map(|_| free_port()).collect(),
             store_links: (0..3).map(|_| free_port()).collect(),
             children: Vec::new(),
             folder,
         };
         for slot in 0..3 {
-            gateway.run(Part::Control(slot), true);
-            gateway.run(Part::Store(slot), true);
+            gateway.run(Role::Control(slot), true);
+            gateway.run(Role::Store(slot), true);
         }
         for slot in 0..2 {
-            gateway.run(Part::Front(slot), true);
+            gateway.run(Role::Front(slot), true);
         }
         gateway
     }
 
-    /// Starts a process, for the first time or again.
-    pub fn run(&mut self, part: Part, first_start: bool) {
-        if let Part::Store(slot) = part {
-            // Each run of a store is at another address.
+    /// Starts or restarts a process. `first_start` sets the setting of that name.
+    pub fn run(&mut self, role: Role, first_start: bool) {
+        if let Role::Store(slot) = role {
+            // Each start of a store uses a new address.
             self.store_links[slot] = free_port();
         }
         let folder = self.folder.path();
-        let (link, table) = match part {
-            Part::Control(slot) => (
-                self.links[slot],
+        let (link, table) = match role {
+            Role::Control(slot) => (
+                self.control_links[slot],
                 format!(
                     "[control]\nlisten = \"{}\"\ndata = \"{}\"\n",
                     self.controls[slot],
                     folder.join(format!("control-{slot}")).display()
                 ),
             ),
-            Part::Store(slot) => (
+            Role::Store(slot) => (
                 self.store_links[slot],
                 format!(
                     "[store]\ndata = \"{}\"\n",
                     folder.join(format!("store-{slot}")).display()
                 ),
             ),
-            Part::Front(slot) => (
+            Role::Front(slot) => (
                 self.front_links[slot],
                 format!(
                     "[front]\nlisten = \"{}\"\nready = \"{}\"\n",
@@ -98,22 +99,22 @@
                 ),
             ),
         };
-        let seeds: Vec<String> = self.links.iter().map(ToString::to_string).collect();
-        let monitor = match part {
-            Part::Front(0) => format!("monitor = \"{}\"\n", self.monitor),
+        let seeds: Vec<String> = self.control_links.iter().map(ToString::to_string).collect();
+        let monitor = match role {
+            Role::Front(0) => format!("monitor = \"{}\"\n", self.monitor),
             _ => String::new(),
         };
         let settings = format!(
-            "[process]\nname = \"{part:?}\"\ndata_centre = \"dc-1\"\n{monitor}[link]\nlisten = \"{link}\"\n\
+            "[process]\nname = \"{role:?}\"\ndata_centre = \"dc-1\"\n{monitor}[link]\nlisten = \"{link}\"\n\
              keys = \"{}\"\n[gateway]\nseeds = {seeds:?}\nfirst_start = {first_start}\n{table}",
             folder.join("keys").display()
         );
-        let file = folder.join(format!("{part:?}.toml"));
+        let file = folder.join(format!("{role:?}.toml"));
         fs::write(&file, settings).expect("settings");
         let log = OpenOptions::new()
             .create(true)
             .append(true)
-            .open(folder.join(format!("{part:?}.log")))
+            .open(folder.join(format!("{role:?}.log")))
             .expect("log");
         let child = Command::new(env!("CARGO_BIN_EXE_sapphirequayd"))
             .arg("--config")
@@ -122,25 +123,25 @@
             .stderr(log)
             .spawn()
             .expect("process");
-        self.children.push((part, child));
+        self.children.push((role, child));
     }
 
-    /// Links as a front has them.
+    /// Client with the link identity of a front.
     pub fn front_client(&self) -> Links {
         let keys = self.folder.path().join("keys");
         let identity = KeyFiles::in_folder(&keys, LinkRole::Entry).load();
         Links::connect_only(identity.expect("identity")).expect("links")
     }
 
-    /// Kills a process as `kill -9` does.
-    pub fn kill(&mut self, part: Part) {
-        let slot = self.children.iter().position(|(it, _)| *it == part);
+    /// Kills a process with SIGKILL.
+    pub fn kill(&mut self, role: Role) {
+        let slot = self.children.iter().position(|(it, _)| *it == role);
         let (_, mut child) = self.children.remove(slot.expect("a running process"));
         child.kill().expect("kill");
         child.wait().expect("wait");
     }
 
-    /// Prints the end of what each process wrote, for the report of a failure.
+    /// Prints the last log lines of each process, for the report of a failure.
     fn print_logs(&self) {
         const LINES: usize = 60;
         for entry in fs::read_dir(self.folder.path())
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Removes the data folder of a store that does not run.
+    /// Removes the data folder of a stopped store.
     pub fn wipe_store(&self, slot: usize) {
         fs::remove_dir_all(self.folder.path().join(format!("store-{slot}"))).expect("wiped");
     }
@@ -176,18 +177,19 @@
     }
 }
 
-/// An answer: status, head and body without its framing.
+/// HTTP response, with the body decoded from its transfer coding.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Answer {
+pub struct Response {
     pub status: u16,
     pub head: String,
     pub body: String,
-    /// Whether the body came whole.
-    pub whole: bool,
+    /// Whether the body is complete; a chunked body must have its last chunk.
+    pub complete: bool,
 }
 
-/// Sends a request on a connection of its own; `None` if no head came back.
-pub fn send(addr: SocketAddr, head: &str, body: &str) -> Option<Answer> {
+/// Sends a request on a new connection. Returns `None` if no response head
+/// arrives.
+pub fn send(addr: SocketAddr, head: &str, body: &str) -> Option<Response> {
     let mut stream = TcpStream::connect(addr).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(9))).ok()?;
     let head = head.replace('\n', "\r\n");
@@ -199,20 +201,20 @@
     parse(&String::from_utf8(got).ok()?)
 }
 
-fn parse(text: &str) -> Option<Answer> {
+fn parse(text: &str) -> Option<Response> {
     let (head, rest) = text.split_once("\r\n\r\n")?;
     let status = head.split(' ').nth(1)?.parse().ok()?;
     let chunked = head.to_lowercase().contains("transfer-encoding: chunked");
-    let (body, whole) = if chunked {
+    let (body, complete) = if chunked {
         dechunk(rest)
     } else {
         (rest.to_owned(), true)
     };
-    Some(Answer {
+    Some(Response {
         status,
         head: head.to_lowercase(),
         body,
-        whole,
+        complete,
     })
 }
 
@@ -234,36 +236,37 @@
     (body, false)
 }
 
-/// What the stand-in does with the next requests.
+/// What the stub upstream does with the next requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Manner {
-    /// Answers.
-    Sound,
-    /// Closes the connection after the request without a word.
-    Mute,
-    /// Says that it did not run the request.
-    Full,
-    /// Answers under another request's number.
-    Mixed,
+pub enum Behaviour {
+    /// Answers completely.
+    Normal,
+    /// Runs the request and closes the connection without an answer.
+    NoAnswer,
+    /// Answers 503 with the header that says the request was not executed.
+    Overloaded,
+    /// Answers with the ID of another request.
+    WrongRequestId,
     /// Ends a stream within an event.
-    Torn,
+    TruncatedEvent,
 }
 
-/// A stand-in of an upstream: streams two events, or answers a plain call.
+/// Stub upstream: streams two events for a chat request, or sends a short plain
+/// response.
 #[derive(Clone)]
-pub struct Upstream {
+pub struct StubUpstream {
     pub addr: SocketAddr,
-    manner: Arc<Mutex<Manner>>,
-    /// Bodies of the requests that it ran.
+    behaviour: Arc<Mutex<Behaviour>>,
+    /// Bodies of the requests that were run.
     ran: Arc<Mutex<Vec<String>>>,
 }
 
-impl Upstream {
+impl StubUpstream {
     pub fn start() -> Self {
-        let listener = TcpListener::bind(LOOPBACK).expect("port");
+        let listener = TcpListener::bind(LOOPBACK).expect("listener");
         let upstream = Self {
             addr: listener.local_addr().expect("address"),
-            manner: Arc::new(Mutex::new(Manner::Sound)),
+            behaviour: Arc::new(Mutex::new(Behaviour::Normal)),
             ran: Arc::default(),
         };
         let shared = upstream.clone();
@@ -276,38 +279,38 @@
         upstream
     }
 
-    pub fn set(&self, manner: Manner) {
-        *self.manner.lock().expect("lock") = manner;
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
+        *self.behaviour.lock().expect("lock") = behaviour;
     }
 
-    pub fn ran(&self) -> Vec<String> {
+    pub fn requests_run(&self) -> Vec<String> {
         self.ran.lock().expect("lock").clone()
     }
 
     /// Answers one request and closes the connection.
     fn serve(&self, mut stream: TcpStream) -> Option<()> {
         let (head, body) = read_request(&mut stream)?;
-        let manner = *self.manner.lock().expect("lock");
-        let id = match manner {
-            Manner::Mixed => "another",
+        let behaviour = *self.behaviour.lock().expect("lock");
+        let id = match behaviour {
+            Behaviour::WrongRequestId => "another",
             _ => header(&head, "x-sapphirequay-request-id")?,
         };
         let common = format!(
             "x-sapphirequay-request-id: {id}\r\nx-sapphirequay-response-seal: s\r\nconnection: close\r\n"
         );
-        if manner == Manner::Full {
+        if behaviour == Behaviour::Overloaded {
             let text = format!(
                 "HTTP/1.1 503 Full\r\nx-sapphirequay-not-executed: 1\r\n{common}content-length: 0\r\n\r\n"
             );
             return stream.write_all(text.as_bytes()).ok();
         }
         self.ran.lock().expect("lock").push(body);
-        if manner == Manner::Mute {
+        if behaviour == Behaviour::NoAnswer {
             return None;
         }
         let text = if head.starts_with("POST /chat/") {
-            let second = match manner {
-                Manner::Torn => "id: 2\ndata: wo",
+            let second = match behaviour {
+                Behaviour::TruncatedEvent => "id: 2\ndata: wo",
                 _ => "id: 2\ndata: world\n\n",
             };
             format!(
--- a/crates/sapphirequayd/tests/common/ports.rs
+++ b/crates/sapphirequayd/tests/common/ports.rs
@@ -1,4 +1,4 @@
-//! Ports for processes that a test starts.
+//! Free ports for processes that a test starts.
 
 use std::{
     net::{Ipv4Addr, SocketAddr, TcpListener, UdpSocket},
@@ -7,24 +7,25 @@
     sync::atomic::{AtomicU16, Ordering},
 };
 
-/// Ports below those that the system gives to outgoing connections, so that
-/// none is taken between its draw and its use, or while its owner is down.
-const PORTS: Range<u16> = 20_000..32_000;
+/// Port range below the system's ephemeral ports, so that no outgoing connection
+/// takes a port between its allocation and its use, or while its process is
+/// down.
+const PORT_RANGE: Range<u16> = 20_000..32_000;
 
-/// More than one run of a test file draws.
-const PORTS_OF_A_RUN: u32 = 500;
+/// Number of ports per test process; more than any test file allocates.
+const PORTS_PER_PROCESS: u32 = 500;
 
-static DRAWN: AtomicU16 = AtomicU16::new(0);
+static ALLOCATED: AtomicU16 = AtomicU16::new(0);
 
-/// A port, of TCP and UDP, that no other test of this run draws and nobody else
-/// has bound.
+/// Allocates a port that is free for both TCP and UDP and that no other test of
+/// this process gets.
 pub fn free_port() -> SocketAddr {
-    let span = u32::from(PORTS.end - PORTS.start);
+    let span = u32::from(PORT_RANGE.end - PORT_RANGE.start);
     loop {
-        let drawn = u32::from(DRAWN.fetch_add(1, Ordering::Relaxed));
-        // Runs at the same time start at places far from each other.
-        let offset = (process::id() % 24 * PORTS_OF_A_RUN + drawn) % span;
-        let port = PORTS.start + u16::try_from(offset).expect("within the range");
+        let allocated = u32::from(ALLOCATED.fetch_add(1, Ordering::Relaxed));
+        // Concurrent test processes start at different offsets.
+        let offset = (process::id() % 24 * PORTS_PER_PROCESS + allocated) % span;
+        let port = PORT_RANGE.start + u16::try_from(offset).expect("within the range");
         let addr = SocketAddr::from((Ipv4Addr::LOCALHOST, port));
         if UdpSocket::bind(addr).is_ok() && TcpListener::bind(addr).is_ok() {
             return addr;
--- a/crates/sapphirequayd/tests/gateway.rs
+++ b/crates/sapphirequayd/tests/gateway.rs
@@ -1,5 +1,5 @@
-//! A gateway as real processes: turns, budgets, tables and what outlives kills
-//! and lost disks.
+//! Tests of a gateway that runs as separate processes: turns, budgets, routing
+//! tables, and durability across process kills and a lost disk.
 
 #[path = "common/gateway.rs"]
 mod gateway;
@@ -7,7 +7,7 @@
 mod ports;
 
 use {
-    gateway::{Answer, Gateway, Manner, Part, Upstream, send},
+    gateway::{Behaviour, Gateway, Response, Role, StubUpstream, send},
     quay_link::LinkRole,
     quay_types::TurnId,
     sapphirequayd::{GatewayRequest, LinkRequest, StoreOp, StoreReply, StoreRequest},
@@ -25,24 +25,24 @@
 "Services":[{"Name":"llm","MaxConns":100,"Engine":{"Slots":16,"StrideTokens":10}},{"Name":"app","MaxConns":100}],
 "Limits":{"MaxHeaderBytes":16384,"MaxBodyBytes":100000,"HeaderTimeoutMs":3000,"IdleTimeoutMs":15000}}"#;
 
-/// Bounds a failure; nothing is said of how fast it goes.
-const PATIENCE: Duration = Duration::from_secs(90);
+/// Time after which a wait fails. Generous, since no test asserts a speed.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(90);
 
-/// Tries until something holds.
-fn wait_for<T>(what: &str, mut tries: impl FnMut() -> Option<T>) -> T {
+/// Polls until `poll` returns a value.
+fn wait_for<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
     let began = Instant::now();
-    while began.elapsed() < PATIENCE {
-        if let Some(got) = tries() {
+    while began.elapsed() < WAIT_TIMEOUT {
+        if let Some(got) = poll() {
             return got;
         }
         thread::sleep(Duration::from_millis(100));
     }
-    panic!("not in time: {what}");
+    panic!("timed out waiting until {what}");
 }
 
 fn put_table(gateway: &Gateway, version: u32) {
     let body = TABLE.replace("VERSION", &version.to_string());
-    wait_for("the table is taken", || {
+    wait_for("the table is accepted", || {
         let got = send(
             gateway.controls[0],
             "POST /sapphirequay/config/put HTTP/1.1\nHost: c",
@@ -52,22 +52,22 @@
     });
 }
 
-fn announce(gateway: &Gateway, name: &str, service: &str, upstream: &Upstream) {
+fn announce(gateway: &Gateway, name: &str, service: &str, upstream: &StubUpstream) {
     let head = format!("POST /sapphirequay/instances/{name}/heartbeat HTTP/1.1\nHost: c");
     let body = format!(
         r#"{{"Service":"{service}","Address":"{}","Zone":"dc-1","Version":"v1","Slots":16,"State":"ready","Seq":1,"born":5}}"#,
         upstream.addr
     );
-    wait_for("the upstream is heard", || {
+    wait_for("the heartbeat is accepted", || {
         let got = send(gateway.controls[1], &head, &body)?;
         (got.status == 200).then_some(())
     });
 }
 
-/// A gateway that has a table and two upstreams.
-fn started() -> (Gateway, Upstream, Upstream) {
+/// Starts a gateway with a routing table and two upstreams.
+fn start_gateway() -> (Gateway, StubUpstream, StubUpstream) {
     let gateway = Gateway::start();
-    let (llm, app) = (Upstream::start(), Upstream::start());
+    let (llm, app) = (StubUpstream::start(), StubUpstream::start());
     put_table(&gateway, 3);
     announce(&gateway, "llm-1", "llm", &llm);
     announce(&gateway, "app-1", "app", &app);
@@ -86,14 +86,14 @@
     head
 }
 
-/// Sends a turn, as another attempt each time, until it is answered otherwise
-/// than 503; tells the number of the attempt that was.
+/// Sends a turn until the status is not 503, each time with a new request ID.
+/// Returns the last request ID and the answer.
 fn run_turn(
     gateway: &Gateway,
     front: SocketAddr,
-    upstream: &Upstream,
+    upstream: &StubUpstream,
     (name, prior, budget, input): (&str, &str, u32, &str),
-) -> (String, Answer) {
+) -> (String, Response) {
     let mut attempt = 0;
     wait_for("the turn is answered", || {
         announce(gateway, "llm-1", "llm", upstream);
@@ -111,119 +111,128 @@
 }
 
 #[test]
-fn turns_are_kept_byte_for_byte_over_kills_and_a_lost_disk() {
-    let (mut gateway, llm, _app) = started();
+fn turns_survive_process_kills_and_a_lost_disk_byte_for_byte() {
+    let (mut gateway, llm, _app) = start_gateway();
     let [one, two] = [gateway.fronts[0], gateway.fronts[1]];
     let (first, got) = run_turn(&gateway, one, &llm, ("t1", "", 1_000, "in-1;"));
-    assert_eq!((got.status, got.whole), (200, true), "{got:?}");
+    assert_eq!((got.status, got.complete), (200, true), "{got:?}");
     assert_eq!(got.body, "id: 1\ndata: hello\n\nid: 2\ndata: world\n\n");
 
-    // Another front, which has not seen the first turn.
+    // The second front has not seen the first turn and reads it from the stores.
     let (second, got) = run_turn(&gateway, two, &llm, ("t2", &first, 1_000, "in-2;"));
     assert_eq!(got.status, 200, "{got:?}");
-    let whole = "in-1;hello\nworld\nin-2;";
-    assert_eq!(llm.ran().last().map(String::as_str), Some(whole));
+    let conversation = "in-1;hello\nworld\nin-2;";
+    assert_eq!(
+        llm.requests_run().last().map(String::as_str),
+        Some(conversation)
+    );
 
-    // A store loses its disk and comes back with an empty one, then all die.
-    gateway.kill(Part::Store(0));
+    // One store restarts with an empty disk, then all processes are killed.
+    gateway.kill(Role::Store(0));
     gateway.wipe_store(0);
-    gateway.run(Part::Store(0), false);
+    gateway.run(Role::Store(0), false);
     let (third, got) = run_turn(&gateway, one, &llm, ("t3", &second, 1_000, "in-3;"));
     assert_eq!(got.status, 200, "{got:?}");
     for slot in 0..3 {
-        gateway.kill(Part::Store(slot));
-        gateway.kill(Part::Control(slot));
+        gateway.kill(Role::Store(slot));
+        gateway.kill(Role::Control(slot));
     }
     for slot in 0..2 {
-        gateway.kill(Part::Front(slot));
+        gateway.kill(Role::Front(slot));
     }
     for slot in 0..3 {
-        gateway.run(Part::Store(slot), false);
-        gateway.run(Part::Control(slot), false);
+        gateway.run(Role::Store(slot), false);
+        gateway.run(Role::Control(slot), false);
     }
     for slot in 0..2 {
-        gateway.run(Part::Front(slot), false);
+        gateway.run(Role::Front(slot), false);
     }
     let (_, got) = run_turn(&gateway, two, &llm, ("t4", &third, 1_000, "in-4;"));
     assert_eq!(got.status, 200, "{got:?}");
-    let whole = "in-1;hello\nworld\nin-2;hello\nworld\nin-3;hello\nworld\nin-4;";
-    assert_eq!(llm.ran().last().map(String::as_str), Some(whole));
+    let conversation = "in-1;hello\nworld\nin-2;hello\nworld\nin-3;hello\nworld\nin-4;";
+    assert_eq!(
+        llm.requests_run().last().map(String::as_str),
+        Some(conversation)
+    );
 
-    // A turn that never was is told so only by those who can be sure.
+    // An unknown turn is answered by 404, which requires that enough stores
+    // report it as absent.
     let (_, got) = run_turn(&gateway, one, &llm, ("t5", "never", 1_000, "in;"));
     assert_eq!(got.status, 404, "{got:?}");
 }
 
 #[test]
-fn a_budget_holds_over_fronts_and_counts_what_was_handed_out() {
-    let (gateway, llm, _app) = started();
-    // A turn hands out two events of 10 tokens and may hand out 30.
+fn a_budget_holds_across_fronts_and_charges_the_tokens_sent() {
+    let (gateway, llm, _app) = start_gateway();
+    // A turn sends two events of 10 tokens each and reserves 30 tokens.
     let (first, got) = run_turn(&gateway, gateway.fronts[0], &llm, ("b1", "", 50, "a"));
     assert_eq!(got.status, 200, "{got:?}");
-    // 20 are used once that is settled: 30 more fit, at another front.
-    let mut tries = 0;
+    // Once the first turn is settled, 20 tokens are used, and a reservation of
+    // 30 fits the budget of 50 at another front.
+    let mut attempt = 0;
     let second = wait_for("the first turn is settled", || {
-        tries += 1;
-        let turn = (&*format!("b2-{tries}"), &*first, 50, "b");
+        attempt += 1;
+        let turn = (&*format!("b2-{attempt}"), &*first, 50, "b");
         let (id, got) = run_turn(&gateway, gateway.fronts[1], &llm, turn);
         (got.status == 200).then_some(id)
     });
-    // 40 are used, or more until that is settled: no turn of 30 fits any more.
-    let ran = llm.ran().len();
+    // 40 tokens are used, or more until the second turn is settled, so no
+    // reservation of 30 fits.
+    let ran = llm.requests_run().len();
     for front in &gateway.fronts {
         let (_, got) = run_turn(&gateway, *front, &llm, ("b3", &second, 50, "c"));
         assert_eq!(got.status, 402, "{got:?}");
     }
-    assert_eq!(llm.ran().len(), ran);
+    assert_eq!(llm.requests_run().len(), ran);
 }
 
 #[test]
-fn a_call_that_may_not_run_twice_runs_once_and_is_told_the_truth() {
-    let (gateway, _llm, app) = started();
+fn a_call_that_must_not_run_twice_runs_once_and_gets_an_accurate_status() {
+    let (gateway, _llm, app) = start_gateway();
     let front = gateway.fronts[0];
     wait_for("a call is answered", || {
         let got = send(front, &call("read", "warm"), "warm")?;
         (got.status == 200).then_some(())
     });
-    for (manner, kind, status, runs) in [
-        (Manner::Sound, "order", 200, 1),
-        (Manner::Mute, "order", 502, 1),
-        (Manner::Mixed, "order", 502, 1),
-        (Manner::Full, "order", 503, 0),
-        (Manner::Full, "read", 503, 0),
+    for (behaviour, kind, status, runs) in [
+        (Behaviour::Normal, "order", 200, 1),
+        (Behaviour::NoAnswer, "order", 502, 1),
+        (Behaviour::WrongRequestId, "order", 502, 1),
+        (Behaviour::Overloaded, "order", 503, 0),
+        (Behaviour::Overloaded, "read", 503, 0),
     ] {
-        app.set(manner);
-        let before = app.ran().len();
-        let id = format!("{kind}-{manner:?}");
+        app.set_behaviour(behaviour);
+        let before = app.requests_run().len();
+        let id = format!("{kind}-{behaviour:?}");
         let got = send(front, &call(kind, &id), &id).expect("answer");
         assert_eq!(got.status, status, "{id}: {got:?}");
-        assert_eq!(app.ran().len() - before, runs, "{id}");
-        let sealed = got.head.contains("x-sapphirequay-response-seal");
+        assert_eq!(app.requests_run().len() - before, runs, "{id}");
+        let has_seal = got.head.contains("x-sapphirequay-response-seal");
         assert_eq!(
-            sealed,
+            has_seal,
             status == 200,
-            "only whole answers vouch for the upstream"
+            "only complete answers carry the upstream's response seal"
         );
         assert_eq!(got.head.contains("retry-after"), status == 503, "{id}");
     }
 }
 
 #[test]
-fn a_stream_that_ends_within_an_event_does_not_look_whole_and_is_not_kept() {
-    let (gateway, llm, _app) = started();
+fn a_stream_that_ends_within_an_event_is_not_terminated_and_not_stored() {
+    let (gateway, llm, _app) = start_gateway();
     let front = gateway.fronts[0];
     run_turn(&gateway, front, &llm, ("warm", "", 1_000, "w"));
-    llm.set(Manner::Torn);
+    llm.set_behaviour(Behaviour::TruncatedEvent);
     let (torn, got) = run_turn(&gateway, front, &llm, ("torn", "", 1_000, "x"));
-    assert_eq!((got.status, got.whole), (200, false), "{got:?}");
-    llm.set(Manner::Sound);
+    assert_eq!((got.status, got.complete), (200, false), "{got:?}");
+    llm.set_behaviour(Behaviour::Normal);
     let (_, got) = run_turn(&gateway, front, &llm, ("next", &torn, 1_000, "y"));
     assert_eq!(got.status, 404, "{got:?}");
 }
 
 #[test]
-fn tables_only_rise_and_faulty_ones_change_nothing() {
-    let (gateway, _llm, _app) = started();
+fn only_valid_tables_with_a_higher_revision_are_activated() {
+    let (gateway, _llm, _app) = start_gateway();
     let put = |body: &str| {
         let head = "POST /sapphirequay/config/put HTTP/1.1\nHost: c";
         wait_for("the control group answers", || {
@@ -231,7 +240,7 @@
             (got.status != 503).then_some(got.status)
         })
     };
-    let held = || {
+    let current_table = || {
         let head = "GET /sapphirequay/config/get HTTP/1.1\nHost: c";
         wait_for("the control group answers", || {
             let got = send(gateway.controls[0], head, "")?;
@@ -240,46 +249,46 @@
     };
     let table = |version: u32| TABLE.replace("VERSION", &version.to_string());
     put_table(&gateway, 7);
-    assert_eq!(held(), table(7));
-    // An older one and other content under the same number are acknowledged
-    // and change nothing.
+    assert_eq!(current_table(), table(7));
+    // An older revision, and different content with the same revision, are
+    // acknowledged without effect.
     assert_eq!(put(&table(5)), 200);
     assert_eq!(put(&table(7).replace("8000", "9000")), 200);
-    // Faulty ones are refused.
+    // Invalid tables are rejected.
     assert_eq!(put(&table(8)[..200]), 400);
     assert_eq!(
         put(&table(8).replace(r#""Service":"app""#, r#""Service":"gone""#)),
         400
     );
     assert_eq!(put(&table(8).replace("8000", "0")), 400);
-    assert_eq!(held(), table(7));
+    assert_eq!(current_table(), table(7));
 }
 
 #[test]
-fn a_route_that_does_not_exist_and_a_body_over_the_limit_are_refused() {
-    let (gateway, _llm, app) = started();
+fn an_unknown_route_and_a_body_over_the_limit_are_refused() {
+    let (gateway, _llm, app) = start_gateway();
     let front = gateway.fronts[0];
     wait_for("a call is answered", || {
         let got = send(front, &call("read", "warm"), "warm")?;
         (got.status == 200).then_some(())
     });
-    let ran = app.ran().len();
-    let gone = send(front, &call("gone", "r1"), "").expect("answer");
-    assert_eq!(gone.status, 404);
+    let ran = app.requests_run().len();
+    let unknown = send(front, &call("gone", "r1"), "").expect("answer");
+    assert_eq!(unknown.status, 404);
     let large = send(front, &call("read", "r2"), &"x".repeat(100_001)).expect("answer");
     assert_eq!(large.status, 413);
-    let nameless = "POST /read/1 HTTP/1.1\nHost: a.example";
-    assert_eq!(send(front, nameless, "").expect("answer").status, 400);
-    assert_eq!(app.ran().len(), ran);
+    let without_id = "POST /read/1 HTTP/1.1\nHost: a.example";
+    assert_eq!(send(front, without_id, "").expect("answer").status, 400);
+    assert_eq!(app.requests_run().len(), ran);
 }
 
 #[test]
-fn what_a_front_did_is_counted_and_timed() {
-    let (gateway, llm, _app) = started();
+fn a_front_exports_counts_and_latencies_of_its_calls() {
+    let (gateway, llm, _app) = start_gateway();
     let front = gateway.fronts[0];
     run_turn(&gateway, front, &llm, ("m1", "", 1_000, "in"));
     send(front, &call("gone", "m2"), "").expect("answer");
-    let metrics = wait_for("the stream's end is counted", || {
+    let metrics = wait_for("the end of the stream is counted", || {
         let got = send(gateway.monitor, "GET /metrics HTTP/1.1\nHost: m", "")?;
         got.body.contains("stage=\"keep\"").then_some(got.body)
     });
@@ -298,14 +307,14 @@
 }
 
 #[test]
-fn a_front_passes_on_what_another_one_asks_a_store_and_nothing_else() {
-    let (gateway, llm, _app) = started();
-    // From then on the front knows the stores.
+fn a_front_relays_requests_of_other_fronts_only_to_stores() {
+    let (gateway, llm, _app) = start_gateway();
+    // After a turn the front has a view of the stores.
     run_turn(&gateway, gateway.fronts[0], &llm, ("d1", "", 1_000, "in"));
     let other = gateway.front_client();
-    let ask = |addr: SocketAddr| {
+    let relay_request = |addr: SocketAddr| {
         let req = StoreRequest {
-            // No store is called so: each says no, and that it is there.
+            // No store has this identity, so a store that is reached refuses.
             to: 0,
             epoch: 1,
             joined: 0,
@@ -317,8 +326,8 @@
         answer.expect("answer")
     };
     for store in &gateway.store_links {
-        assert_eq!(ask(*store), Some(StoreReply::Refused));
+        assert_eq!(relay_request(*store), Some(StoreReply::Refused));
     }
-    assert_eq!(ask(gateway.controls[0]), None);
-    assert_eq!(ask(gateway.front_links[1]), None);
+    assert_eq!(relay_request(gateway.controls[0]), None);
+    assert_eq!(relay_request(gateway.front_links[1]), None);
 }
--- a/crates/sapphirequayd/tests/gateway_parts.rs
+++ b/crates/sapphirequayd/tests/gateway_parts.rs
@@ -1,4 +1,4 @@
-//! Decisions of a gateway, without a network.
+//! Tests of the gateway's decision logic, without a network.
 
 use {
     bytes::Bytes,
@@ -19,7 +19,7 @@
     b": note\nid: 1\ndata: one\n\nx-version: 2\nid: 2\ndata: two\ndata:  lines\r\n\r\nid: 3\n\n";
 
 #[test]
-fn the_data_of_each_event_is_kept_with_a_line_feed() {
+fn the_data_of_each_event_is_stored_with_a_line_feed() {
     let mut reader = EventReader::new(true);
     reader.feed(STREAM);
     assert_eq!((reader.events(), reader.mid_event()), (2, false));
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_stream_that_ends_within_an_event_is_told_apart() {
+fn a_stream_that_ends_within_an_event_is_detected() {
     for torn in [&b"id: 1\ndata: o"[..], b"id: 1\ndata: one\n", b"i"] {
         let mut reader = EventReader::new(true);
         reader.feed(torn);
@@ -37,9 +37,9 @@
 }
 
 proptest! {
-    /// However the bytes arrive, the same is read.
+    /// The events read do not depend on how the bytes are split into chunks.
     #[test]
-    fn pieces_do_not_matter(cuts in proptest::collection::vec(0..STREAM.len(), 0..8)) {
+    fn chunk_boundaries_do_not_matter(cuts in proptest::collection::vec(0..STREAM.len(), 0..8)) {
         let mut cuts = cuts;
         cuts.sort_unstable();
         let mut reader = EventReader::new(true);
@@ -54,14 +54,14 @@
 }
 
 #[test]
-fn an_upstream_is_rated_by_its_own_part_of_a_stream_only() {
+fn an_upstream_is_rated_only_by_its_own_part_of_a_stream() {
     let whole = StreamEnd::Whole;
     assert_eq!(
         upstream_outcome(whole, 8, false),
         UpstreamOutcome::Succeeded
     );
-    // Too short to say how fast; how long its turn waits for stores is not its
-    // doing.
+    // Too few events to measure the speed. The time for which the turn waits for
+    // the stores is not attributed to the upstream.
     assert_eq!(
         upstream_outcome(whole, 2, false),
         UpstreamOutcome::SucceededUntimed
@@ -87,7 +87,7 @@
     chains.put(at(0), TurnId(1), Bytes::from_static(b"12345"));
     chains.put(at(0), TurnId(2), Bytes::from_static(b"12345"));
     assert!(chains.get(at(1), TurnId(1)).is_some());
-    // The one used longest ago makes room.
+    // The least recently used chain is evicted.
     chains.put(at(1), TurnId(3), Bytes::from_static(b"123"));
     assert_eq!(chains.get(at(1), TurnId(2)), None);
     chains.tick(at(2_000));
@@ -125,12 +125,12 @@
     Member::new(NodeId(node), ([127, 0, 0, 1], port).into(), "dc")
 }
 
-fn three() -> Membership {
+fn three_voters() -> Membership {
     Membership::from_voters([member(1, 1), member(2, 2), member(3, 3)])
 }
 
-/// Carries out changes until none is due.
-fn settle(mut members: Membership, joining: &[Member], silent: &[NodeId]) -> Membership {
+/// Applies membership changes until none is due.
+fn apply_changes(mut members: Membership, joining: &[Member], silent: &[NodeId]) -> Membership {
     for _ in 0..9 {
         let view = MembershipInputs {
             members: &members,
@@ -141,9 +141,9 @@
         let Some(change) = next_membership_change(&view) else {
             return members;
         };
-        members = members.with_change(&change).expect("a change that fits");
+        members = members.with_change(&change).expect("applicable change");
     }
-    panic!("it never settles: {members:?}");
+    panic!("membership changes do not end: {members:?}");
 }
 
 fn voters(members: &Membership) -> Vec<u64> {
@@ -153,22 +153,25 @@
 }
 
 #[test]
-fn a_replica_that_lost_its_disk_takes_the_place_of_its_old_self() {
-    let members = settle(three(), &[member(9, 2)], &[]);
+fn a_replica_that_lost_its_disk_replaces_its_former_membership() {
+    let members = apply_changes(three_voters(), &[member(9, 2)], &[]);
     assert_eq!(voters(&members), [1, 3, 9]);
     assert!(members.learners.is_empty());
 }
 
 #[test]
-fn a_newcomer_takes_only_the_place_of_a_silent_voter() {
-    assert_eq!(voters(&settle(three(), &[member(9, 9)], &[])), [1, 2, 3]);
-    let members = settle(three(), &[member(9, 9)], &[NodeId(2)]);
+fn a_joining_replica_replaces_only_a_silent_voter() {
+    assert_eq!(
+        voters(&apply_changes(three_voters(), &[member(9, 9)], &[])),
+        [1, 2, 3]
+    );
+    let members = apply_changes(three_voters(), &[member(9, 9)], &[NodeId(2)]);
     assert_eq!(voters(&members), [1, 3, 9]);
 }
 
 #[test]
-fn a_learner_that_no_longer_asks_is_dropped() {
-    let mut members = three();
+fn a_learner_that_no_longer_asks_to_join_is_removed() {
+    let mut members = three_voters();
     members.learners.push(member(9, 9));
     let view = MembershipInputs {
         members: &members,
@@ -183,66 +186,66 @@
 }
 
 // ---------------------------------------------------------------------------
-// First moments
+// Start of a front
 
-/// A clock that stands still until it is set.
-fn stopped(now: &std::cell::Cell<u64>) -> impl Fn() -> Time + '_ {
+/// A clock that advances only when `now` is set.
+fn manual_clock(now: &std::cell::Cell<u64>) -> impl Fn() -> Time + '_ {
     || Time::from_millis(now.get())
 }
 
 #[tokio::test]
-async fn a_front_that_has_just_started_waits_for_what_is_about_to_come() {
+async fn a_front_that_has_just_started_waits_for_its_first_updates() {
     let now = std::cell::Cell::new(0);
     let startup = StartupWait::new(Time::ZERO, std::time::Duration::from_mins(5));
     let table = std::cell::Cell::new(None);
-    let looks = std::cell::Cell::new(0);
-    let look = || {
-        looks.set(looks.get() + 1);
+    let lookups = std::cell::Cell::new(0);
+    let lookup = || {
+        lookups.set(lookups.get() + 1);
         table.get()
     };
-    let waits = startup.wait_for(Time::from_millis(90_000), stopped(&now), look);
-    let learns = async {
-        // News that is not what is waited for, then what is.
+    let waiting = startup.wait_for(Time::from_millis(90_000), manual_clock(&now), lookup);
+    let updates = async {
+        // The first update lacks the expected value, the second one has it.
         startup.notify();
         tokio::task::yield_now().await;
         table.set(Some(7));
         startup.notify();
     };
-    let (found, ()) = tokio::join!(waits, learns);
+    let (found, ()) = tokio::join!(waiting, updates);
     assert_eq!(found, Some(7));
-    assert!(looks.get() >= 2);
+    assert!(lookups.get() >= 2);
 }
 
 #[tokio::test]
-async fn nobody_waits_once_the_first_moments_or_the_time_of_the_request_are_over() {
+async fn a_request_does_not_wait_after_the_start_period_or_its_deadline() {
     let now = std::cell::Cell::new(6_000);
     let startup = StartupWait::new(Time::ZERO, std::time::Duration::from_secs(5));
-    let look = || None::<u32>;
-    let ends = Time::from_millis(90_000);
-    assert_eq!(startup.wait_for(ends, stopped(&now), look).await, None);
+    let lookup = || None::<u32>;
+    let deadline = Time::from_millis(90_000);
+    assert_eq!(startup.wait_for(deadline, manual_clock(&now), lookup).await, None);
     now.set(1_000);
-    let ends = Time::from_millis(1_000);
-    assert_eq!(startup.wait_for(ends, stopped(&now), look).await, None);
+    let deadline = Time::from_millis(1_000);
+    assert_eq!(startup.wait_for(deadline, manual_clock(&now), lookup).await, None);
 }
 
 // ---------------------------------------------------------------------------
-// The way to the stores
+// Path to the stores
 
 fn front(number: u8) -> std::net::SocketAddr {
     ([10, 0, 0, number], 7_400).into()
 }
 
 #[test]
-fn a_front_that_hears_no_store_tries_other_fronts_in_turn_and_comes_back() {
+fn a_front_without_store_replies_probes_relays_in_turn_and_returns_to_the_direct_path() {
     let at = Time::from_millis;
     let mut path = StorePath::default();
     path.set_peers(vec![front(1), front(2)]);
-    // Nothing was asked, or a store answers: straight.
+    // Without requests, or while stores answer, the path is direct.
     assert_eq!(path.next_probe(at(5_000)), None);
     path.record_request(at(5_000));
     path.record_reply();
     assert_eq!(path.next_probe(at(9_000)), None);
-    // Silence: one front after another, not all at once.
+    // Without replies, relays are probed one at a time.
     path.record_request(at(10_000));
     path.record_request(at(10_300));
     assert_eq!(path.next_probe(at(10_300)), None);
@@ -258,7 +261,7 @@
     assert_eq!(path.relay(), None);
     assert!(path.record_success(PathProbe::Relay(front(2))));
     assert_eq!(path.relay(), Some(front(2)));
-    // From time to time the straight way is tried.
+    // While a relay is in use, the direct path is probed periodically.
     assert_eq!(path.next_probe(at(10_900)), None);
     assert_eq!(path.next_probe(at(11_100)), Some(PathProbe::Direct));
     assert!(path.record_success(PathProbe::Direct));
@@ -267,7 +270,7 @@
 }
 
 #[test]
-fn a_detour_that_has_become_silent_is_left_for_the_next_front() {
+fn a_relay_without_replies_is_replaced_by_the_next_front() {
     let at = Time::from_millis;
     let mut path = StorePath::default();
     path.record_request(at(0));
@@ -278,7 +281,7 @@
     path.record_request(at(2_000));
     assert_eq!(path.next_probe(at(2_400)), Some(PathProbe::Relay(front(2))));
     assert_eq!(path.relay(), None);
-    // Fewer fronts are told: the known ones stay until others are.
+    // An empty list of peers does not replace the known ones.
     path.set_peers(Vec::new());
     assert_eq!(path.next_probe(at(2_600)), Some(PathProbe::Relay(front(1))));
 }
