--- a/crates/sapphirequayd/tests/control.rs
+++ b/crates/sapphirequayd/tests/control.rs
@@ -290,7 +290,7 @@
         format!("{:?}", ask(n, ConfigIndex(1))).contains("ConfigStale")
     });
     let fresh = format!("{:?}", ask(1_000, changed_index(&changed)));
-    assert!(fresh.contains("Go"), "{fresh}");
+    assert!(fresh.contains("Granted"), "{fresh}");
 }
 
 fn changed_index(reply: &ControlReply) -> ConfigIndex {
