--- a/crates/sapphirequayd/src/process/group/backup.rs
+++ b/crates/sapphirequayd/src/process/group/backup.rs
@@ -1,4 +1,4 @@
-//! Copies the groups of a data folder, and starts groups again from a copy.
+//! Backs up the groups of a data folder and restores groups from a backup.
 
 use {
     super::storage,
@@ -16,17 +16,17 @@
     },
 };
 
-/// Entries that a restored log takes in one frame.
+/// Number of entries per frame when a log is restored.
 const RESTORE_BATCH: usize = 1_024;
 
-/// Why a copy could not be made or used.
+/// Why a backup or restore failed.
 #[derive(Debug)]
 pub enum BackupError {
-    /// A folder or file can't be used.
+    /// A folder or file could not be read or written.
     Io(PathBuf, io::Error),
-    /// The log of a group can't be used.
+    /// The log of a group could not be read or written.
     Log(PathBuf, LogError),
-    /// The folder that is to be written exists.
+    /// The target folder exists already.
     Exists(PathBuf),
 }
 
@@ -35,7 +35,7 @@
         match self {
             Self::Io(path, err) => write!(f, "{}: {err}", path.display()),
             Self::Log(path, err) => write!(f, "{}: {err}", path.display()),
-            Self::Exists(path) => write!(f, "{}: it exists already", path.display()),
+            Self::Exists(path) => write!(f, "{}: target folder already exists", path.display()),
         }
     }
 }
@@ -54,51 +54,53 @@
     }
 }
 
-/// What a copy of one group holds.
+/// Summary of the backup of one group.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GroupBackup {
     /// Name of the group's folder.
     pub name: Box<str>,
-    /// Last entry in it.
+    /// Index of the last entry in the backup.
     pub last: LogIndex,
 }
 
-/// Copies every group of a data folder, whose host may run meanwhile. The
-/// identity is left out: a copy is not the host.
+/// Backs up every group of a data folder, while its host may be running. The
+/// identity file is not copied, since a backup must not act as the same host.
 ///
 /// # Errors
 ///
-/// If a file can't be copied or the copy does not open.
+/// If a file can't be copied, `to` exists, or the backup can't be opened.
 pub fn backup(from: &Path, to: &Path) -> Result<Vec<GroupBackup>, BackupError> {
     let mut copies = Vec::new();
-    make(to)?;
+    create_new_folder(to)?;
     for name in group_names(from)? {
         let (source, target) = (from.join(&*name), to.join(&*name));
-        make(&target)?;
+        create_new_folder(&target)?;
         copy_segments(&source, &target)?;
-        // The snapshot comes last: it covers what was dropped meanwhile.
-        copy_named(&source, &target, "snapshot-")?;
-        let last = open(&target)?.restart_last();
+        // Snapshots are copied after the segments, so that they cover entries
+        // that were compacted in the meantime.
+        copy_files(&source, &target, "snapshot-")?;
+        let last = open_log(&target)?.last_index();
         copies.push(GroupBackup { name, last });
     }
     Ok(copies)
 }
 
-/// Starts the groups of a copy again, each with one member: a new host at
-/// `addr`. Its identity is drawn. Every entry of the copy counts as committed.
+/// Restores the groups of a backup, each with a single member: a new host at
+/// `addr` with a random identity. Every entry of the backup counts as
+/// committed.
 ///
 /// # Errors
 ///
-/// If the copy can't be used or `to` exists.
+/// If the backup can't be used or `to` exists.
 pub fn restore(
     from: &Path,
     to: &Path,
     addr: SocketAddr,
     data_centre: &str,
 ) -> Result<NodeId, BackupError> {
-    let node = storage::draw_node(rand::rng().next_u64());
+    let node = storage::random_node_id(rand::rng().next_u64());
     let members = Membership::from_voters([Member::new(node, addr, data_centre)]);
-    make(to)?;
+    create_new_folder(to)?;
     for name in group_names(from)? {
         restore_group(&from.join(&*name), &to.join(&*name), &members)?;
     }
@@ -107,8 +109,8 @@
     Ok(node)
 }
 
-/// Makes a folder that must not exist.
-fn make(path: &Path) -> Result<(), BackupError> {
+/// Creates a folder, which must not exist yet.
+fn create_new_folder(path: &Path) -> Result<(), BackupError> {
     if path.exists() {
         return Err(BackupError::Exists(path.into()));
     }
@@ -116,7 +118,7 @@
     Ok(())
 }
 
-/// Names of the folders of groups, in order.
+/// Names of the group folders in a data folder, sorted.
 fn group_names(dir: &Path) -> Result<Vec<Box<str>>, BackupError> {
     let mut names: Vec<Box<str>> = Vec::new();
     for entry in fs::read_dir(dir).map_err(BackupError::io(dir))? {
@@ -129,8 +131,9 @@
     Ok(names)
 }
 
-/// Copies the segments, oldest first. One that is gone was covered by a
-/// snapshot, and so were those before it.
+/// Copies the log segments, oldest first. A segment that disappears meanwhile
+/// was covered by a snapshot, and so were all earlier ones: their copies are
+/// removed.
 fn copy_segments(from: &Path, to: &Path) -> Result<(), BackupError> {
     let folder = DiskFolder::open(from).map_err(BackupError::io(from))?;
     let names = folder.list().map_err(BackupError::io(from))?;
@@ -150,16 +153,16 @@
     Ok(())
 }
 
-/// Copies files whose names start with `prefix`; those in the making are left
-/// out.
-fn copy_named(from: &Path, to: &Path, prefix: &str) -> Result<(), BackupError> {
+/// Copies the files whose names start with `prefix`, except temporary files that
+/// are still being written.
+fn copy_files(from: &Path, to: &Path, prefix: &str) -> Result<(), BackupError> {
     let folder = DiskFolder::open(from).map_err(BackupError::io(from))?;
     let names = folder.list().map_err(BackupError::io(from))?;
-    let whole = |name: &str| name.starts_with(prefix) && !name.ends_with(TEMP_SUFFIX);
-    for name in names.iter().filter(|name| whole(name)) {
+    let complete = |name: &str| name.starts_with(prefix) && !name.ends_with(TEMP_SUFFIX);
+    for name in names.iter().filter(|name| complete(name)) {
         let target = to.join(&**name);
         match fs::copy(from.join(&**name), &target) {
-            // A newer one has replaced it.
+            // A newer file has replaced this one.
             Err(err) if err.kind() == io::ErrorKind::NotFound => {}
             copied => drop(copied.map_err(BackupError::io(&target))?),
         }
@@ -168,15 +171,15 @@
 }
 
 /// Opens the log of a group's folder.
-fn open(path: &Path) -> Result<storage::Opened, BackupError> {
+fn open_log(path: &Path) -> Result<storage::OpenedLog, BackupError> {
     let folder = DiskFolder::open(path).map_err(BackupError::io(path))?;
     storage::open(&folder, None).map_err(BackupError::log(path))
 }
 
-/// Writes a group with new members and the state and entries of a copy.
+/// Writes a group with the state and entries of a backup and with new members.
 fn restore_group(from: &Path, to: &Path, members: &Membership) -> Result<(), BackupError> {
-    let opened = open(from)?;
-    make(to)?;
+    let opened = open_log(from)?;
+    create_new_folder(to)?;
     let folder = DiskFolder::open(to).map_err(BackupError::io(to))?;
     let meta = SnapshotMeta {
         position: opened.restart.meta.position,
@@ -184,7 +187,7 @@
     };
     let write = || {
         if let Some(state) = opened.state {
-            save_snapshot(&folder, &storage::snapshot_of(&meta, state)?)?;
+            save_snapshot(&folder, &storage::encode_snapshot(&meta, state)?)?;
         }
         let (mut log, _) = Log::open(folder.clone(), LogSettings::default())?;
         let term = opened.restart.hard_state.term;
@@ -199,7 +202,8 @@
     write().map_err(BackupError::log(to))
 }
 
-/// The stored form of an entry; a change of the old members is left empty.
+/// Encodes an entry as a log record. Membership changes become empty entries, so
+/// that they don't replace the new members.
 fn without_members(entry: &Entry) -> Result<Record, LogError> {
     let payload = match &entry.payload {
         Payload::Members(_) => &Payload::Empty,
--- a/crates/sapphirequayd/src/process/group/disk.rs
+++ b/crates/sapphirequayd/src/process/group/disk.rs
@@ -1,4 +1,4 @@
-//! The thread that writes a replica's log: one sync for all that waits.
+//! Thread that writes a replica's log. All queued writes share one sync.
 
 use {
     quay_log::{DiskFolder, HardState, Log, LogError, Record, Snapshot, save_snapshot},
@@ -7,25 +7,26 @@
     std::sync::mpsc::Receiver,
 };
 
-/// What the thread is told.
+/// Job of the thread that writes the log.
 #[derive(Debug)]
 pub enum DiskJob {
-    /// Save term, vote and entries.
+    /// Append the term, vote and entries.
     Save(Persist),
-    /// Replace all that is saved by a snapshot of the leader.
+    /// Replace the stored state by a snapshot from the leader.
     Restore {
-        /// Number of the save.
-        ticket: PersistId,
+        /// Identifier of the write, reported once it is synced.
+        persist_id: PersistId,
         /// The snapshot.
         snapshot: Box<Snapshot>,
-        /// Whether entries after the snapshot stay.
+        /// Whether log entries after the snapshot are kept.
         keep: bool,
     },
-    /// A snapshot covers the entries up to this index.
+    /// Drop the entries up to this index, which a snapshot covers.
     Compact(LogIndex),
 }
 
-/// Writes until the last sender is gone; tells each ticket that is synced.
+/// Runs jobs until the last sender is dropped. Calls `synced` with the
+/// identifier of the last write of each batch once the batch is synced.
 pub fn run(
     log: &mut Log<DiskFolder>,
     jobs: &Receiver<DiskJob>,
@@ -46,17 +47,19 @@
     Ok(())
 }
 
-/// Records that go into the next frame.
+/// Records that are written and synced together as one frame.
 #[derive(Default)]
 struct Batch {
     records: Vec<Record>,
-    ticket: Option<PersistId>,
-    /// Whether each record is a frame of its own.
+    /// Identifier of the latest write in the batch.
+    persist_id: Option<PersistId>,
+    /// Whether each record is written and synced as a frame of its own.
     sync_each: bool,
 }
 
 impl Batch {
-    /// Adds a job; those that are no records are carried out in their turn.
+    /// Adds the records of a job to the batch. A job without records flushes the
+    /// batch first and is run at once, which keeps the order of the jobs.
     fn take(
         &mut self,
         log: &mut Log<DiskFolder>,
@@ -70,7 +73,7 @@
                 log.compact(index)
             }
             DiskJob::Restore {
-                ticket,
+                persist_id,
                 snapshot,
                 keep,
             } => {
@@ -79,15 +82,15 @@
                 if !keep {
                     log.append(&[Record::Reset])?;
                 }
-                synced(ticket);
+                synced(persist_id);
                 Ok(())
             }
         }
     }
 
-    /// Adds the records of a save.
+    /// Adds the records of a write.
     fn add(&mut self, persist: Persist) -> Result<(), LogError> {
-        self.ticket = Some(persist.id);
+        self.persist_id = Some(persist.id);
         if let Some(hard) = persist.hard_state {
             self.records.push(Record::HardState(HardState {
                 term: hard.term,
@@ -106,13 +109,13 @@
         Ok(())
     }
 
-    /// Writes the frame with one sync.
+    /// Writes the batch and syncs it.
     fn flush(
         &mut self,
         log: &mut Log<DiskFolder>,
         synced: &impl Fn(PersistId),
     ) -> Result<(), LogError> {
-        let Some(ticket) = self.ticket.take() else {
+        let Some(persist_id) = self.persist_id.take() else {
             return Ok(());
         };
         if self.sync_each {
@@ -123,7 +126,7 @@
             log.append(&self.records)?;
             self.records.clear();
         }
-        synced(ticket);
+        synced(persist_id);
         Ok(())
     }
 }
--- a/crates/sapphirequayd/src/process/group/host.rs
+++ b/crates/sapphirequayd/src/process/group/host.rs
@@ -1,4 +1,4 @@
-//! Starts the replicas of one host and hands them what peers send.
+//! Starts the replicas of one host and routes link streams to them.
 
 use {
     super::{
@@ -6,9 +6,9 @@
         QuorumReply, QuorumRequest,
         disk::{self, DiskJob},
         peers::{self, Peers},
-        replicated::{Outside, ReplicatedGroup},
-        snapshots::{SnapshotJob, Snapshots},
-        storage::{self, First},
+        replicated::{ReplicaIo, ReplicatedGroup},
+        snapshots::{SnapshotJob, SnapshotWorker},
+        storage::{self, InitialState},
     },
     crate::{
         process::{Clock, Mailbox, spawn},
@@ -36,10 +36,10 @@
     },
 };
 
-/// Hands a replica what comes over links.
-type Inlet = Arc<dyn Fn(Inbound) + Send + Sync>;
+/// Passes messages from links to one replica.
+type InboundHandler = Arc<dyn Fn(Inbound) + Send + Sync>;
 
-/// What comes over links for one replica.
+/// Message from a link to one replica.
 enum Inbound {
     Peer(GroupEvent),
     Status(mpsc::SyncSender<Option<Status>>),
@@ -49,7 +49,7 @@
     ),
 }
 
-/// Replicas of one host.
+/// Starts and serves the replicas of one host.
 #[derive(Clone)]
 pub struct GroupHost {
     clock: Clock,
@@ -57,9 +57,11 @@
     settings: LedgerSettings,
     limits: GroupLimits,
     quorum: QuorumSettings,
-    /// Identity; `None` without a data folder.
+    /// Identity of the host; `None` without a data folder.
     node: Option<NodeId>,
-    inlets: Arc<Mutex<IndexMap<GroupId, Inlet>>>,
+    /// Handlers of the started replicas, by group.
+    handlers: Arc<Mutex<IndexMap<GroupId, InboundHandler>>>,
+    /// Bytes of the frames sent to other replicas.
     sent: Arc<AtomicU64>,
 }
 
@@ -72,12 +74,12 @@
 }
 
 impl GroupHost {
-    /// The host that `settings` describe. Without a data folder its groups live
-    /// in memory.
+    /// Creates the host that `settings` describe. Without a data folder, groups
+    /// are kept in memory only.
     ///
     /// # Errors
     ///
-    /// If the settings or the data folder can't be used.
+    /// If the settings are invalid or the data folder can't be used.
     pub fn new(
         settings: &LedgerSettings,
         links: Links,
@@ -85,7 +87,7 @@
     ) -> Result<Self, GroupStartError> {
         settings.check().map_err(GroupStartError::Settings)?;
         let node = match &settings.data {
-            Some(data) => Some(identify(settings, data)?),
+            Some(data) => Some(load_or_create_identity(settings, data)?),
             None => None,
         };
         Ok(Self {
@@ -95,12 +97,12 @@
             limits: GroupLimits::default(),
             quorum: QuorumSettings::default(),
             node,
-            inlets: Arc::default(),
+            handlers: Arc::default(),
             sent: Arc::default(),
         })
     }
 
-    /// The same host with other limits, for tests and experiments.
+    /// Replaces the default limits, for tests and experiments.
     #[must_use]
     pub fn with_limits(mut self, limits: GroupLimits) -> Self {
         self.limits = limits;
@@ -113,23 +115,23 @@
         self.node
     }
 
-    /// Bytes of frames that this host has sent to other replicas.
+    /// Bytes of the frames that this host has sent to other replicas.
     #[must_use]
     pub fn sent_bytes(&self) -> u64 {
         self.sent.load(Ordering::Relaxed)
     }
 
-    /// What comes over links, by group.
-    fn inlets(&self) -> MutexGuard<'_, IndexMap<GroupId, Inlet>> {
-        self.inlets.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Locks the handlers of the started replicas.
+    fn handlers(&self) -> MutexGuard<'_, IndexMap<GroupId, InboundHandler>> {
+        self.handlers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Starts this host's replica of a group. `machine` is the state of a group
-    /// in which nothing has happened.
+    /// Starts this host's replica of a group. `machine` holds the initial state,
+    /// before any command.
     ///
     /// # Errors
     ///
-    /// If the log can't be used; the error names file and offset.
+    /// If the log can't be used; the error names the file and the offset.
     pub fn start<M: StateMachine>(
         &self,
         group: GroupId,
@@ -144,7 +146,7 @@
         }
     }
 
-    /// Starts a replica and its threads.
+    /// Starts a replica with a data folder, and its threads.
     fn start_replica<M: StateMachine>(
         &self,
         group: GroupId,
@@ -155,31 +157,31 @@
         let io_error = |err| GroupStartError::Io(path.into(), err);
         let log_error = |err| GroupStartError::Log(path.into(), err);
         let folder = DiskFolder::create(path).map_err(io_error)?;
-        let opened = storage::open(&folder, self.first(&machine)?).map_err(log_error)?;
+        let opened = storage::open(&folder, self.initial_state(&machine)?).map_err(log_error)?;
         if let Some(state) = &opened.state {
             let state = postcard::from_bytes(state);
             machine.restore(state.map_err(|err| log_error(LogError::Encode(err)))?);
         }
-        self.check_addr(group, node, &opened.restart.meta.members);
+        self.warn_if_addr_differs(group, node, &opened.restart.meta.members);
         let (seed, now) = (rand::rng().next_u64(), self.clock.now());
         let replica = Replica::restart(node, opened.restart, self.quorum, seed, now);
         let peers = Peers::new(
             self.links.clone(),
             group,
             node,
-            self.own_addr(node),
+            self.advertised_addr(node),
             Arc::clone(&self.sent),
         );
         let (disk, disk_jobs) = mpsc::channel();
         let (snapshots, snapshot_jobs) = mpsc::channel();
-        let outside = Outside {
+        let io = ReplicaIo {
             disk: disk.clone(),
             snapshots,
             peers: peers.clone(),
         };
-        let actor = ReplicatedGroup::new(group, machine, replica, outside, self.limits);
+        let actor = ReplicatedGroup::new(group, machine, replica, io, self.limits);
         let mailbox = spawn(&group.to_string(), self.clock, actor).map_err(io_error)?;
-        spawn_log(
+        spawn_log_writer(
             group,
             opened.log,
             disk_jobs,
@@ -187,18 +189,20 @@
             mailbox.clone(),
         )
         .map_err(io_error)?;
-        let saver = Snapshots {
+        let worker = SnapshotWorker {
             folder,
             peers,
             disk,
         };
-        spawn_snapshots(group, saver, snapshot_jobs, mailbox.clone()).map_err(io_error)?;
-        self.inlets().insert(group, inlet(mailbox.clone()));
+        spawn_snapshot_worker(group, worker, snapshot_jobs, mailbox.clone()).map_err(io_error)?;
+        self.handlers()
+            .insert(group, inbound_handler(mailbox.clone()));
         Ok(mailbox)
     }
 
-    /// Warns if the others look for this host at another address.
-    fn check_addr(&self, group: GroupId, node: NodeId, members: &Membership) {
+    /// Warns if the membership lists this host under another address than the
+    /// one it listens on.
+    fn warn_if_addr_differs(&self, group: GroupId, node: NodeId, members: &Membership) {
         let own = self.links.local_addr();
         if let Some(member) = members.get(node)
             && Some(member.addr) != own
@@ -208,8 +212,12 @@
         }
     }
 
-    /// Members and state of a new group, if this host is to start one.
-    fn first<M: StateMachine>(&self, machine: &M) -> Result<Option<First>, GroupStartError> {
+    /// Members and state of a new group; `None` unless this host bootstraps its
+    /// groups.
+    fn initial_state<M: StateMachine>(
+        &self,
+        machine: &M,
+    ) -> Result<Option<InitialState>, GroupStartError> {
         if !self.settings.bootstrap {
             return Ok(None);
         }
@@ -218,14 +226,14 @@
         let members = self.settings.peers.iter();
         let members =
             members.map(|peer| Member::new(NodeId(peer.node), peer.addr, peer.data_centre.clone()));
-        Ok(Some(First {
+        Ok(Some(InitialState {
             members: Membership::from_voters(members),
             state: state.into(),
         }))
     }
 
-    /// Address that peers reach this host at.
-    fn own_addr(&self, node: NodeId) -> SocketAddr {
+    /// Address that peers use to reach this host.
+    fn advertised_addr(&self, node: NodeId) -> SocketAddr {
         let named = self.settings.peers.iter().find(|peer| peer.node == node.0);
         let bound = self.links.local_addr();
         named
@@ -237,14 +245,14 @@
     // -----------------------------------------------------------------------
     // Streams from peers and operators
 
-    /// Serves a stream about a group until it ends.
+    /// Serves a stream that concerns a group until the stream ends.
     pub fn serve(&self, req: QuorumRequest, incoming: &mut Incoming) {
         let group = match &req {
             QuorumRequest::Peer { group, .. }
             | QuorumRequest::Status(group)
             | QuorumRequest::Change(group, _) => *group,
         };
-        let Some(inlet) = self.inlets().get(&group).cloned() else {
+        let Some(handler) = self.handlers().get(&group).cloned() else {
             let text = format!("this host has no group {group}").into();
             let _ = incoming.stream.send(&QuorumReply::Refused(text));
             return;
@@ -252,21 +260,21 @@
         match req {
             QuorumRequest::Peer { from, to, addr, .. } => {
                 if Some(to) == self.node {
-                    receive(&inlet, from, addr, incoming);
+                    receive(&handler, from, addr, incoming);
                 } else {
                     log::warn!("event=peer_for_another group={group} from={from} to={to}");
                 }
             }
             QuorumRequest::Status(_) => {
                 let (tx, rx) = mpsc::sync_channel(1);
-                inlet(Inbound::Status(tx));
+                handler(Inbound::Status(tx));
                 let _ = incoming
                     .stream
                     .send(&status_reply(rx.recv().ok().flatten()));
             }
             QuorumRequest::Change(_, change) => {
                 let (tx, rx) = mpsc::sync_channel(1);
-                inlet(Inbound::Change(change, tx));
+                handler(Inbound::Change(change, tx));
                 let reply = match rx.recv() {
                     Ok(Ok(())) => QuorumReply::Changed,
                     Ok(Err(MembershipChangeError::Refused(text))) => QuorumReply::Refused(text),
@@ -279,7 +287,7 @@
 }
 
 /// Starts the thread that writes a replica's log.
-fn spawn_log<M: StateMachine>(
+fn spawn_log_writer<M: StateMachine>(
     group: GroupId,
     mut log: Log<DiskFolder>,
     jobs: mpsc::Receiver<DiskJob>,
@@ -287,10 +295,10 @@
     mailbox: Mailbox<GroupMsg<M>>,
 ) -> io::Result<()> {
     let run = move || {
-        let tell = |event| mailbox.send(GroupMsg::Event(event));
-        let synced = |ticket| tell(GroupEvent::Persisted(ticket));
+        let notify = |event| mailbox.send(GroupMsg::Event(event));
+        let synced = |persist_id| notify(GroupEvent::Persisted(persist_id));
         if let Err(err) = disk::run(&mut log, &jobs, sync_each, synced) {
-            tell(GroupEvent::DiskFailed(err.to_string().into()));
+            notify(GroupEvent::DiskFailed(err.to_string().into()));
         }
     };
     let name = format!("log-{group}");
@@ -298,14 +306,14 @@
 }
 
 /// Starts the thread that saves a replica's snapshots.
-fn spawn_snapshots<M: StateMachine>(
+fn spawn_snapshot_worker<M: StateMachine>(
     group: GroupId,
-    saver: Snapshots,
+    worker: SnapshotWorker,
     jobs: mpsc::Receiver<SnapshotJob<M::Snapshot>>,
     mailbox: Mailbox<GroupMsg<M>>,
 ) -> io::Result<()> {
     let run = move || {
-        saver.run(&jobs, |saved| {
+        worker.run(&jobs, |saved| {
             let event = saved.map_or(GroupEvent::SnapshotFailed, GroupEvent::SnapshotSaved);
             mailbox.send(GroupMsg::Event(event));
         });
@@ -314,10 +322,10 @@
     thread::Builder::new().name(name).spawn(run).map(drop)
 }
 
-/// Hands a replica the messages of a peer until the stream ends.
-fn receive(inlet: &Inlet, from: NodeId, addr: SocketAddr, incoming: &mut Incoming) {
+/// Passes the messages of a peer to a replica until the stream ends.
+fn receive(handler: &InboundHandler, from: NodeId, addr: SocketAddr, incoming: &mut Incoming) {
     let take = |message: Message| {
-        inlet(Inbound::Peer(GroupEvent::Peer {
+        handler(Inbound::Peer(GroupEvent::Peer {
             from,
             addr,
             message: Box::new(message),
@@ -328,7 +336,7 @@
     }
 }
 
-/// The answer to a question how a replica stands.
+/// Reply to a status request; `None` means that the replica has stopped.
 fn status_reply(status: Option<Status>) -> QuorumReply {
     match status {
         Some(status) => QuorumReply::Status {
@@ -343,8 +351,8 @@
     }
 }
 
-/// Hands a replica what comes over links.
-fn inlet<M: StateMachine>(mailbox: Mailbox<GroupMsg<M>>) -> Inlet {
+/// Creates the handler that forwards messages from links to a replica.
+fn inbound_handler<M: StateMachine>(mailbox: Mailbox<GroupMsg<M>>) -> InboundHandler {
     let mailbox = Mutex::new(mailbox);
     Arc::new(move |inbound| {
         let msg = match inbound {
@@ -359,18 +367,21 @@
     })
 }
 
-/// Finds the identity of a data folder, or gives a new folder one.
+/// Reads the identity of a data folder, or creates one for a new folder.
 ///
-/// Only a host that starts a group takes its identity from the settings. Any
-/// other new folder gets a drawn one, so that a host which lost its disk can't
-/// come back as its old self.
-fn identify(settings: &LedgerSettings, data: &PathBuf) -> Result<NodeId, GroupStartError> {
+/// Only a host that bootstraps its groups takes its identity from the settings.
+/// Any other new folder gets a random identity, so that a host that lost its
+/// disk can't rejoin under its old identity without its log and vote.
+fn load_or_create_identity(
+    settings: &LedgerSettings,
+    data: &PathBuf,
+) -> Result<NodeId, GroupStartError> {
     let folder = DiskFolder::create(data).map_err(|err| GroupStartError::Io(data.clone(), err))?;
     let log_error = |err| GroupStartError::Log(data.clone(), err);
     if let Some(node) = storage::read_identity(&folder).map_err(log_error)? {
         if settings.node != 0 && settings.node != node.0 {
             let message = format!(
-                "{} is named, but the data folder is that of {node}",
+                "{} is configured, but the data folder belongs to node {node}",
                 settings.node
             );
             return Err(GroupStartError::Settings(Problem::new(
@@ -379,7 +390,7 @@
         }
         if settings.bootstrap {
             log::warn!(
-                "event=bootstrap_still_set node={node} advice=\"take it out of the settings\""
+                "event=bootstrap_still_set node={node} advice=\"remove bootstrap from the settings\""
             );
         }
         return Ok(node);
@@ -387,7 +398,7 @@
     let node = if settings.bootstrap {
         NodeId(settings.node)
     } else {
-        storage::draw_node(rand::rng().next_u64())
+        storage::random_node_id(rand::rng().next_u64())
     };
     storage::write_identity(&folder, node).map_err(log_error)?;
     log::info!(
--- a/crates/sapphirequayd/src/process/group/in_memory.rs
+++ b/crates/sapphirequayd/src/process/group/in_memory.rs
@@ -1,4 +1,4 @@
-//! A group of one copy in memory, for demos and tests.
+//! A group with a single replica in memory, for demos and tests.
 
 use {
     super::{GroupMsg, MembershipChangeError},
@@ -8,15 +8,15 @@
     std::time::Duration,
 };
 
-/// A group of one copy in memory: every command commits at once and is lost
-/// with the process.
+/// Actor of a group with a single replica in memory. Every command commits at
+/// once; the state is lost when the process ends.
 pub struct InMemoryGroup<M> {
     machine: M,
     index: LogIndex,
 }
 
 impl<M: StateMachine> InMemoryGroup<M> {
-    /// A group that starts with `machine`.
+    /// Creates a group with the initial state `machine`.
     pub const fn new(machine: M) -> Self {
         Self {
             machine,
--- a/crates/sapphirequayd/src/process/group/mod.rs
+++ b/crates/sapphirequayd/src/process/group/mod.rs
@@ -1,16 +1,16 @@
-//! One replicated group as the rest of the daemon sees it.
+//! Replicated groups: the messages a group accepts and the errors it returns.
 
 mod backup;
 mod disk;
 mod host;
 mod in_memory;
 mod peers;
+mod pending;
 mod replicated;
 mod request;
 mod snapshots;
 mod start_error;
 mod storage;
-mod waiting;
 
 pub use {
     backup::{BackupError, GroupBackup, backup, restore},
@@ -28,75 +28,79 @@
     std::{net::SocketAddr, sync::mpsc::SyncSender},
 };
 
-/// Why a group did not carry out a request.
+/// Why a group did not complete a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GroupError {
-    /// Another replica leads; nothing happened here.
+    /// This replica is not the leader and did not process the request. Holds
+    /// the leader's address, if known.
     NotLeader(Option<SocketAddr>),
-    /// There is no quorum; nothing happened.
+    /// The request was not processed, for example because no quorum answers.
     Unavailable,
-    /// The command was proposed, and may yet be carried out.
+    /// The command was proposed and may still be committed.
     Unknown,
 }
 
-/// What a group is told.
+/// Message to the actor of a group.
 pub enum GroupMsg<M: StateMachine> {
-    /// Carry out a command; the answer comes once it is durable on a quorum.
+    /// Proposes a command; the reply follows once the command is durable on a
+    /// quorum.
     Propose {
         /// The command.
         command: M::Command,
         /// Takes the answer.
         reply: SyncSender<Result<M::Reply, GroupError>>,
     },
-    /// Answer a query from state that a quorum has confirmed as current.
+    /// Runs a query on state that a quorum has confirmed as current.
     Read {
         /// The query.
         query: M::Query,
         /// Takes the answer.
         reply: SyncSender<Result<M::Answer, GroupError>>,
     },
-    /// Change the members; answered once the change is committed.
+    /// Changes the membership; the reply follows once the change is committed.
     Change {
         /// The change.
         change: MembershipChange,
         /// Takes the answer.
         reply: SyncSender<Result<(), MembershipChangeError>>,
     },
-    /// Tell how the replica stands; `None` for a group in memory.
+    /// Requests the status of the replica; `None` for a group in memory or a
+    /// stopped replica.
     Status(SyncSender<Option<Status>>),
-    /// Stop at once, as if the process had died.
+    /// Stops the replica at once, as if the process had crashed.
     Stop,
-    /// From the replica's own threads and its peers.
+    /// Event from the replica's own threads or its peers.
     Event(GroupEvent),
 }
 
-/// Why members did not change.
+/// Why a membership change did not complete.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MembershipChangeError {
-    /// The change was refused; nothing happened.
+    /// The change was refused and has no effect; holds the reason.
     Refused(Box<str>),
-    /// The change was proposed, and may yet be committed.
+    /// The change was proposed and may still be committed.
     Unknown,
 }
 
-/// What a replica hears from its own threads and its peers.
+/// Event from a replica's own threads or its peers.
 #[derive(Debug)]
 pub enum GroupEvent {
     /// A message from a peer.
     Peer {
-        /// Sender.
+        /// Identity of the sender.
         from: NodeId,
-        /// Address that the sender accepts links on.
+        /// Address on which the sender accepts links.
         addr: SocketAddr,
         /// The message.
         message: Box<Message>,
     },
-    /// This save and all before it are synced.
+    /// This write and all earlier ones are synced to disk.
     Persisted(PersistId),
-    /// A snapshot of the state after an entry is synced.
+    /// A snapshot of the state after this entry is synced to disk.
     SnapshotSaved(LogIndex),
-    /// A snapshot could not be saved; the log goes on growing.
+    /// A snapshot could not be saved, so the log is not compacted.
     SnapshotFailed,
-    /// The disk failed: what it holds is unknown.
+    /// A write to the log failed, so the contents of the disk are unknown; holds
+    /// the cause.
     DiskFailed(Box<str>),
 }
--- a/crates/sapphirequayd/src/process/group/peers.rs
+++ b/crates/sapphirequayd/src/process/group/peers.rs
@@ -1,4 +1,4 @@
-//! Messages to and from the other replicas of a group.
+//! Sends messages to the other replicas of a group and receives theirs.
 
 use {
     super::QuorumRequest,
@@ -21,43 +21,45 @@
     },
 };
 
-/// Messages that may wait for one peer; more are dropped, and sent again later.
+/// Capacity of a peer's send queue, in messages. Further messages are dropped;
+/// the replica sends them again later.
 const QUEUE_MESSAGES: usize = 1_024;
 
-/// Wait before a peer that could not be reached is tried again.
+/// Delay before reconnecting to a peer that could not be reached.
 const RECONNECT_AFTER: Duration = Duration::from_millis(100);
 
-/// Bytes of a message that go into one frame.
+/// Largest part of a split message that one frame carries, in bytes.
 const PART_BYTES: usize = 4 << 20;
 
-/// Largest message that is put together from parts.
+/// Largest message that is assembled from parts, in bytes.
 const MAX_MESSAGE_BYTES: usize = 1 << 30;
 
 /// One frame between two replicas.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerFrame {
-    /// A message.
+    /// A complete message.
     Whole(Message),
     /// Part of an encoded message that is too large for one frame.
     Part(#[serde(with = "quay_types::bytes")] Box<[u8]>),
-    /// The last part.
+    /// The last part of a split message.
     LastPart(#[serde(with = "quay_types::bytes")] Box<[u8]>),
 }
 
-/// Sends to the other replicas of a group; clones share the threads.
+/// Sends messages to the other replicas of a group, with one thread per peer.
+/// Clones share the threads.
 #[derive(Debug, Clone)]
 pub struct Peers {
     links: Links,
     group: GroupId,
     node: NodeId,
-    /// Address that this replica accepts links on.
-    own: SocketAddr,
+    /// Address on which this replica accepts links.
+    own_addr: SocketAddr,
     shared: Arc<Mutex<Shared>>,
-    /// Bytes of frames that were sent.
+    /// Bytes of the frames that were sent.
     sent: Arc<AtomicU64>,
 }
 
-/// What the sending threads share.
+/// Addresses and send queues of the peers, shared by all threads.
 #[derive(Debug, Default)]
 struct Shared {
     addrs: IndexMap<NodeId, SocketAddr>,
@@ -65,25 +67,25 @@
 }
 
 impl Peers {
-    /// Peers of a replica.
+    /// Creates the senders of a replica; no thread is started yet.
     pub fn new(
         links: Links,
         group: GroupId,
         node: NodeId,
-        own: SocketAddr,
+        own_addr: SocketAddr,
         sent: Arc<AtomicU64>,
     ) -> Self {
         Self {
             links,
             group,
             node,
-            own,
+            own_addr,
             shared: Arc::default(),
             sent,
         }
     }
 
-    /// What the threads share.
+    /// Locks the addresses and send queues.
     fn shared(&self) -> MutexGuard<'_, Shared> {
         self.shared.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -93,24 +95,24 @@
         self.shared().addrs.get(&node).copied()
     }
 
-    /// Learns the address of a peer.
-    pub fn learn(&self, node: NodeId, addr: SocketAddr) {
+    /// Records the address of a peer.
+    pub fn set_addr(&self, node: NodeId, addr: SocketAddr) {
         self.shared().addrs.insert(node, addr);
     }
 
-    /// Stops all threads.
+    /// Drops the send queues, which ends all sending threads.
     pub fn stop(&self) {
         self.shared().queues.clear();
     }
 
-    /// Sends a message without waiting; it may get lost.
+    /// Queues a message without blocking. Delivery is not guaranteed.
     pub fn send(&self, to: NodeId, message: Message) {
         let mut shared = self.shared();
         if let Some(queue) = shared.queues.get(&to) {
             let _ = queue.try_send(message);
             return;
         }
-        match self.start(to) {
+        match self.spawn_sender(to) {
             Ok(queue) => {
                 let _ = queue.try_send(message);
                 shared.queues.insert(to, queue);
@@ -120,17 +122,17 @@
     }
 
     /// Starts the thread that sends to a peer.
-    fn start(&self, to: NodeId) -> io::Result<SyncSender<Message>> {
+    fn spawn_sender(&self, to: NodeId) -> io::Result<SyncSender<Message>> {
         let (tx, rx) = sync_channel(QUEUE_MESSAGES);
         let peers = self.clone();
         thread::Builder::new()
             .name(format!("peer-{}-{to}", self.group))
-            .spawn(move || peers.feed(to, &rx))?;
+            .spawn(move || peers.send_queued(to, &rx))?;
         Ok(tx)
     }
 
-    /// Sends what is queued for a peer until the queue is dropped.
-    fn feed(&self, to: NodeId, queue: &Receiver<Message>) {
+    /// Sends the queued messages of a peer until the queue is dropped.
+    fn send_queued(&self, to: NodeId, queue: &Receiver<Message>) {
         let mut stream = None;
         while let Ok(message) = queue.recv() {
             if stream.is_none() {
@@ -148,18 +150,19 @@
         }
     }
 
-    /// Opens the stream to a peer.
+    /// Opens a stream to a peer; `None` if its address is unknown or it can't be
+    /// reached.
     fn connect(&self, to: NodeId) -> Option<LinkStream> {
         let addr = self.addr(to)?;
-        let hello = QuorumRequest::Peer {
+        let request = QuorumRequest::Peer {
             group: self.group,
             from: self.node,
             to,
-            addr: self.own,
+            addr: self.own_addr,
         };
         match self
             .links
-            .open(addr, LinkRole::Ledger, &LinkRequest::Quorum(hello))
+            .open(addr, LinkRole::Ledger, &LinkRequest::Quorum(request))
         {
             Ok(stream) => Some(stream),
             Err(err) => {
@@ -171,7 +174,8 @@
     }
 }
 
-/// Sends one message, in parts if it is large; tells the bytes.
+/// Sends one message and returns the bytes sent. Snapshots are split into parts,
+/// since they may exceed the size of a frame.
 fn send_message(stream: &LinkStream, message: Message) -> Result<usize, LinkError> {
     let Message::Snapshot { .. } = &message else {
         return stream.send_counted(&PeerFrame::Whole(message));
--- a/crates/sapphirequayd/src/process/group/waiting.rs
+++ b/crates/sapphirequayd/src/process/group/pending.rs
@@ -1,4 +1,5 @@
-//! Requests that wait for a commit or a quorum.
+//! Pending requests: proposals that wait for their commit, and reads that wait
+//! for a quorum.
 
 use {
     super::{GroupError, MembershipChangeError},
@@ -8,17 +9,17 @@
     std::{collections::VecDeque, sync::mpsc::SyncSender},
 };
 
-/// Who waits for a proposal.
+/// Reply channel of a proposal.
 pub enum Waiter<M: StateMachine> {
-    /// Someone who proposed a command.
+    /// The proposal is a command.
     Command(SyncSender<Result<M::Reply, GroupError>>),
-    /// Someone who changes the members.
+    /// The proposal is a membership change.
     Change(SyncSender<Result<(), MembershipChangeError>>),
 }
 
 impl<M: StateMachine> Waiter<M> {
-    /// The proposal may yet be carried out.
-    fn unknown(self) {
+    /// Replies that the proposal may still be committed.
+    fn reply_unknown(self) {
         match self {
             Self::Command(reply) => drop(reply.send(Err(GroupError::Unknown))),
             Self::Change(reply) => drop(reply.send(Err(MembershipChangeError::Unknown))),
@@ -26,27 +27,28 @@
     }
 }
 
-/// A proposal that is not committed.
+/// A proposal that is not committed yet.
 struct Proposal<M: StateMachine> {
     index: LogIndex,
     term: Epoch,
     waiter: Waiter<M>,
 }
 
-/// A read that is not confirmed.
+/// A read that no quorum has confirmed yet.
 struct Read<M: StateMachine> {
     query: M::Query,
     reply: SyncSender<Result<M::Answer, GroupError>>,
 }
 
-/// Requests that wait.
-pub struct Waiting<M: StateMachine> {
-    /// In the order of their indices.
+/// Requests of a replica that are not answered yet.
+pub struct PendingRequests<M: StateMachine> {
+    /// In ascending order of log index.
     proposals: VecDeque<Proposal<M>>,
+    /// By tag.
     reads: IndexMap<u64, Read<M>>,
 }
 
-impl<M: StateMachine> Default for Waiting<M> {
+impl<M: StateMachine> Default for PendingRequests<M> {
     fn default() -> Self {
         Self {
             proposals: VecDeque::new(),
@@ -55,9 +57,9 @@
     }
 }
 
-impl<M: StateMachine> Waiting<M> {
-    /// A proposal has its place.
-    pub fn propose(&mut self, index: LogIndex, term: Epoch, waiter: Waiter<M>) {
+impl<M: StateMachine> PendingRequests<M> {
+    /// Adds a proposal that was appended to the log at `index` in `term`.
+    pub fn add_proposal(&mut self, index: LogIndex, term: Epoch, waiter: Waiter<M>) {
         self.proposals.push_back(Proposal {
             index,
             term,
@@ -65,8 +67,8 @@
         });
     }
 
-    /// A read waits for its quorum.
-    pub fn read(
+    /// Adds a read that waits for confirmation by a quorum.
+    pub fn add_read(
         &mut self,
         tag: u64,
         query: M::Query,
@@ -75,32 +77,34 @@
         self.reads.insert(tag, Read { query, reply });
     }
 
-    /// Who proposed the entry that was committed at `index`.
-    pub fn committed(&mut self, index: LogIndex, term: Epoch) -> Option<Waiter<M>> {
+    /// Removes and returns the waiter for the entry committed at `index`, if the
+    /// entry was proposed here.
+    pub fn take_committed(&mut self, index: LogIndex, term: Epoch) -> Option<Waiter<M>> {
         let next = self
             .proposals
             .pop_front_if(|proposal| proposal.index <= index)?;
         (next.index == index && next.term == term).then_some(next.waiter)
     }
 
-    /// A read is confirmed.
-    pub fn confirmed(&mut self, tag: u64, machine: &M) {
+    /// Answers a read that a quorum has confirmed.
+    pub fn confirm_read(&mut self, tag: u64, machine: &M) {
         if let Some(read) = self.reads.swap_remove(&tag) {
             let _ = read.reply.send(Ok(machine.query(&read.query)));
         }
     }
 
-    /// A read is refused.
-    pub fn refused(&mut self, tag: u64, err: GroupError) {
+    /// Answers a read that the replica refused.
+    pub fn refuse_read(&mut self, tag: u64, err: GroupError) {
         if let Some(read) = self.reads.swap_remove(&tag) {
             let _ = read.reply.send(Err(err));
         }
     }
 
-    /// The replica no longer leads: proposals may yet commit elsewhere.
-    pub fn give_up(&mut self, read_error: GroupError) {
+    /// Fails all pending requests: proposals as unknown, since another leader
+    /// may still commit them, and reads with `read_error`.
+    pub fn fail_all(&mut self, read_error: GroupError) {
         for proposal in self.proposals.drain(..) {
-            proposal.waiter.unknown();
+            proposal.waiter.reply_unknown();
         }
         for (_, read) in self.reads.drain(..) {
             let _ = read.reply.send(Err(read_error));
--- a/crates/sapphirequayd/src/process/group/replicated.rs
+++ b/crates/sapphirequayd/src/process/group/replicated.rs
@@ -1,12 +1,13 @@
-//! The actor around a replica: decides, and never waits for disk or network.
+//! Actor that runs a replica and its state machine. It never blocks on disk or
+//! network; other threads do the I/O.
 
 use {
     super::{
         GroupError, GroupEvent, GroupMsg, MembershipChangeError,
         disk::DiskJob,
         peers::Peers,
+        pending::{PendingRequests, Waiter},
         snapshots::SnapshotJob,
-        waiting::{Waiter, Waiting},
     },
     crate::process::Actor,
     quay_quorum::{
@@ -21,19 +22,20 @@
     },
 };
 
-/// Exit code of a process whose replica can't go on.
+/// Exit code of the process after a replica fault.
 const FAULT_EXIT_CODE: i32 = 3;
 
-/// When a replica saves its state.
+/// Snapshot thresholds and fault handling of a replica.
 #[derive(Debug, Clone, Copy)]
 pub struct GroupLimits {
-    /// Bytes of commands after which a snapshot is saved.
+    /// Bytes of applied entries after which a snapshot is saved.
     pub snapshot_bytes: usize,
-    /// Commands after which a snapshot is saved.
+    /// Number of applied entries after which a snapshot is saved.
     pub snapshot_entries: u64,
-    /// Whether each entry gets a sync of its own: the baseline of measurements.
+    /// Whether each log record is synced separately instead of in batches; a
+    /// baseline for measurements.
     pub sync_each: bool,
-    /// Whether the process ends when the replica can't go on.
+    /// Whether the process exits when the replica has a fault.
     pub exit_on_fault: bool,
 }
 
@@ -48,52 +50,52 @@
     }
 }
 
-/// What a replica's actor reaches.
-pub struct Outside<S> {
-    /// The log's thread.
+/// Threads and peers to which a replica's actor delegates I/O.
+pub struct ReplicaIo<S> {
+    /// Jobs for the thread that writes the log.
     pub disk: Sender<DiskJob>,
-    /// The snapshots' thread.
+    /// Jobs for the thread that saves and sends snapshots.
     pub snapshots: Sender<SnapshotJob<S>>,
-    /// The other replicas.
+    /// Senders to the other replicas.
     pub peers: Peers,
 }
 
-/// What was applied since the last snapshot.
+/// Amount applied since the last snapshot was started.
 #[derive(Debug, Clone, Copy, Default)]
-struct SinceSnapshot {
+struct AppliedSinceSnapshot {
     entries: u64,
     bytes: usize,
     /// Whether a snapshot is being saved.
     saving: bool,
 }
 
-/// A replica of a group, with its state machine.
+/// Actor that runs one replica of a group and its state machine.
 pub struct ReplicatedGroup<M: StateMachine> {
     group: GroupId,
     machine: M,
     replica: Replica,
     /// `None` once the replica has stopped.
-    outside: Option<Outside<M::Snapshot>>,
-    waiting: Waiting<M>,
+    io: Option<ReplicaIo<M::Snapshot>>,
+    pending: PendingRequests<M>,
     limits: GroupLimits,
     applied: LogIndex,
-    since: SinceSnapshot,
+    since_snapshot: AppliedSinceSnapshot,
     next_tag: u64,
 }
 
 impl<M: StateMachine> ReplicatedGroup<M> {
-    /// The actor of a replica whose state machine holds the state of its
-    /// latest snapshot.
+    /// Creates the actor. `machine` holds the state of the replica's latest
+    /// snapshot.
     pub fn new(
         group: GroupId,
         machine: M,
         replica: Replica,
-        outside: Outside<M::Snapshot>,
+        io: ReplicaIo<M::Snapshot>,
         limits: GroupLimits,
     ) -> Self {
         let status = replica.status();
         for member in status.members.all() {
-            outside.peers.learn(member.node, member.addr);
+            io.peers.set_addr(member.node, member.addr);
         }
         for advice in placement_advice(&status.members) {
             log::warn!("event=placement group={group} advice=\"{advice}\"");
@@ -103,24 +105,24 @@
             machine,
             applied: replica.commit(),
             replica,
-            outside: Some(outside),
-            waiting: Waiting::default(),
+            io: Some(io),
+            pending: PendingRequests::default(),
             limits,
-            since: SinceSnapshot::default(),
+            since_snapshot: AppliedSinceSnapshot::default(),
             next_tag: 0,
         }
     }
 
-    /// A tag that was not used before.
-    fn take_tag(&mut self) -> u64 {
+    /// Returns a new tag, which correlates a request with the replica's actions.
+    fn next_unused_tag(&mut self) -> u64 {
         self.next_tag += 1;
         self.next_tag
     }
 
-    /// Gives the replica an input and does what it asks for.
+    /// Passes an input to the replica and carries out the resulting actions.
     fn step(&mut self, now: Time, input: Input) {
         let actions = self.replica.step(now, input);
-        self.act(actions);
+        self.run_actions(actions);
     }
 
     // -----------------------------------------------------------------------
@@ -133,7 +135,7 @@
         command: &M::Command,
         reply: SyncSender<Result<M::Reply, GroupError>>,
     ) {
-        let tag = self.take_tag();
+        let tag = self.next_unused_tag();
         let command = match postcard::to_stdvec(command) {
             Ok(command) => command.into(),
             Err(err) => {
@@ -146,37 +148,41 @@
             }
         };
         let actions = self.replica.step(now, Input::Propose { tag, command });
-        match outcome(&actions) {
-            Ok((index, term)) => self.waiting.propose(index, term, Waiter::Command(reply)),
-            Err(refusal) => drop(reply.send(Err(self.error(refusal)))),
+        match proposal_outcome(&actions) {
+            Ok((index, term)) => self
+                .pending
+                .add_proposal(index, term, Waiter::Command(reply)),
+            Err(refusal) => drop(reply.send(Err(self.group_error(refusal)))),
         }
     }
 
-    /// Asks for a read to be confirmed.
+    /// Starts a read; it is answered once a quorum confirms the leader.
     fn read(
         &mut self,
         now: Time,
         query: M::Query,
         reply: SyncSender<Result<M::Answer, GroupError>>,
     ) {
-        let tag = self.take_tag();
-        self.waiting.read(tag, query, reply);
+        let tag = self.next_unused_tag();
+        self.pending.add_read(tag, query, reply);
         self.step(now, Input::Read { tag });
     }
 
-    /// Proposes a change of the members.
+    /// Proposes a membership change.
     fn change(
         &mut self,
         now: Time,
         change: quay_quorum::MembershipChange,
         reply: SyncSender<Result<(), MembershipChangeError>>,
     ) {
-        let tag = self.take_tag();
+        let tag = self.next_unused_tag();
         let actions = self
             .replica
             .step(now, Input::ChangeMembership { tag, change });
-        match outcome(&actions) {
-            Ok((index, term)) => self.waiting.propose(index, term, Waiter::Change(reply)),
+        match proposal_outcome(&actions) {
+            Ok((index, term)) => self
+                .pending
+                .add_proposal(index, term, Waiter::Change(reply)),
             Err(refusal) => {
                 let text = self.refusal_text(refusal);
                 let _ = reply.send(Err(MembershipChangeError::Refused(text)));
@@ -184,15 +190,15 @@
         }
     }
 
-    /// What a refusal is to someone who asks.
-    fn error(&self, refusal: Refusal) -> GroupError {
+    /// Error with which a refused command or read is answered.
+    fn group_error(&self, refusal: Refusal) -> GroupError {
         match refusal {
             Refusal::NotLeader(leader) => GroupError::NotLeader(self.addr(leader)),
             _ => GroupError::Unavailable,
         }
     }
 
-    /// What a refusal is to an operator.
+    /// Text with which a refused membership change is answered.
     fn refusal_text(&self, refusal: Refusal) -> Box<str> {
         match refusal {
             Refusal::NotLeader(leader) => match self.addr(leader) {
@@ -207,27 +213,27 @@
         }
     }
 
-    /// Address of a node.
+    /// Address of a node, if known.
     fn addr(&self, node: Option<NodeId>) -> Option<std::net::SocketAddr> {
-        self.outside.as_ref()?.peers.addr(node?)
+        self.io.as_ref()?.peers.addr(node?)
     }
 
     // -----------------------------------------------------------------------
     // Actions
 
-    /// Does what the replica asks for.
-    fn act(&mut self, actions: Vec<Action>) {
+    /// Carries out the actions that the replica returned.
+    fn run_actions(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Persist(persist) => self.tell_disk(DiskJob::Save(persist)),
+                Action::Persist(persist) => self.submit_disk_job(DiskJob::Save(persist)),
                 Action::Send { to, message } => {
-                    if let Some(outside) = &self.outside {
-                        outside.peers.send(to, message);
+                    if let Some(io) = &self.io {
+                        io.peers.send(to, message);
                     }
                 }
                 Action::SendSnapshot { to, term } => {
-                    if let Some(outside) = &self.outside {
-                        let _ = outside.snapshots.send(SnapshotJob::Send { to, term });
+                    if let Some(io) = &self.io {
+                        let _ = io.snapshots.send(SnapshotJob::Send { to, term });
                     }
                 }
                 Action::Restore {
@@ -237,43 +243,43 @@
                     keep,
                 } => self.restore(persist_id, &meta, data, keep),
                 Action::Apply(entries) => entries.into_iter().for_each(|entry| self.apply(entry)),
-                Action::ReadReady { tag, .. } => self.waiting.confirmed(tag, &self.machine),
+                Action::ReadReady { tag, .. } => self.pending.confirm_read(tag, &self.machine),
                 Action::Refused { tag, refusal } => {
-                    let err = self.error(refusal);
-                    self.waiting.refused(tag, err);
+                    let err = self.group_error(refusal);
+                    self.pending.refuse_read(tag, err);
                 }
                 Action::BecameLeader(term) => {
                     log::info!("event=leads group={} term={term}", self.group);
                 }
                 Action::SteppedDown => {
                     log::warn!("event=stepped_down group={}", self.group);
-                    self.waiting.give_up(GroupError::NotLeader(None));
+                    self.pending.fail_all(GroupError::NotLeader(None));
                 }
                 Action::Proposed { .. } => {}
             }
         }
     }
 
-    /// Gives the log's thread a job.
-    fn tell_disk(&self, job: DiskJob) {
-        if let Some(outside) = &self.outside {
-            let _ = outside.disk.send(job);
+    /// Queues a job for the thread that writes the log.
+    fn submit_disk_job(&self, job: DiskJob) {
+        if let Some(io) = &self.io {
+            let _ = io.disk.send(job);
         }
     }
 
-    /// Applies a committed entry and answers who proposed it.
+    /// Applies a committed entry and replies to its proposer, if it waits here.
     fn apply(&mut self, entry: Entry) {
         let (index, term) = (entry.index(), entry.position.term);
         self.applied = index;
-        self.since.entries += 1;
-        self.since.bytes += entry.bytes();
-        let waiter = self.waiting.committed(index, term);
+        self.since_snapshot.entries += 1;
+        self.since_snapshot.bytes += entry.bytes();
+        let waiter = self.pending.take_committed(index, term);
         match entry.payload {
             Payload::Command(command) => self.apply_command(index, term, &command, waiter),
             Payload::Members(members) => {
-                if let Some(outside) = &self.outside {
+                if let Some(io) = &self.io {
                     for member in members.all() {
-                        outside.peers.learn(member.node, member.addr);
+                        io.peers.set_addr(member.node, member.addr);
                     }
                 }
                 for advice in placement_advice(&members) {
@@ -287,7 +293,7 @@
         }
     }
 
-    /// Applies a command.
+    /// Decodes and applies a committed command.
     fn apply_command(
         &mut self,
         index: LogIndex,
@@ -297,8 +303,8 @@
     ) {
         let command = match postcard::from_bytes(command) {
             Ok(command) => command,
-            // Skipping it would let this copy differ from the others.
-            Err(err) => return self.fault(&format!("entry {index} does not decode: {err}")),
+            // Skipping the entry would make this replica diverge from the others.
+            Err(err) => return self.fail(&format!("entry {index} does not decode: {err}")),
         };
         let answer = self.machine.apply(index, term, command);
         if let Some(Waiter::Command(reply)) = waiter {
@@ -306,57 +312,57 @@
         }
     }
 
-    /// Takes a snapshot of the leader as the state.
+    /// Replaces the state by a snapshot from the leader.
     fn restore(
         &mut self,
-        ticket: quay_quorum::PersistId,
+        persist_id: quay_quorum::PersistId,
         meta: &SnapshotMeta,
         data: Box<[u8]>,
         keep: bool,
     ) {
         let state = match postcard::from_bytes(&data) {
             Ok(state) => state,
-            Err(err) => return self.fault(&format!("the snapshot does not decode: {err}")),
+            Err(err) => return self.fail(&format!("the snapshot does not decode: {err}")),
         };
-        let snapshot = match super::storage::snapshot_of(meta, data) {
+        let snapshot = match super::storage::encode_snapshot(meta, data) {
             Ok(snapshot) => Box::new(snapshot),
-            Err(err) => return self.fault(&err.to_string()),
+            Err(err) => return self.fail(&err.to_string()),
         };
         self.machine.restore(state);
         self.applied = meta.position.index;
         let (group, index) = (self.group, meta.position.index);
         log::info!("event=restored group={group} index={index}");
-        self.tell_disk(DiskJob::Restore {
-            ticket,
+        self.submit_disk_job(DiskJob::Restore {
+            persist_id,
             snapshot,
             keep,
         });
     }
 
-    /// Saves the state if enough was applied since the last time.
+    /// Starts saving a snapshot if enough was applied since the last one.
     fn save_snapshot(&mut self) {
-        let due = self.since.bytes >= self.limits.snapshot_bytes
-            || self.since.entries >= self.limits.snapshot_entries;
-        if !due || self.since.saving {
+        let due = self.since_snapshot.bytes >= self.limits.snapshot_bytes
+            || self.since_snapshot.entries >= self.limits.snapshot_entries;
+        if !due || self.since_snapshot.saving {
             return;
         }
-        let (Some(meta), Some(outside)) = (self.replica.snapshot_meta(self.applied), &self.outside)
-        else {
+        let (Some(meta), Some(io)) = (self.replica.snapshot_meta(self.applied), &self.io) else {
             return;
         };
         let state = self.machine.snapshot();
-        let _ = outside.snapshots.send(SnapshotJob::Save(meta, state));
-        self.since = SinceSnapshot {
+        let _ = io.snapshots.send(SnapshotJob::Save(meta, state));
+        self.since_snapshot = AppliedSinceSnapshot {
             saving: true,
-            ..SinceSnapshot::default()
+            ..AppliedSinceSnapshot::default()
         };
     }
 
     // -----------------------------------------------------------------------
-    // The end
+    // Faults, shutdown and events
 
-    /// The replica can't go on: nothing more is answered as done.
-    fn fault(&mut self, cause: &str) {
+    /// Stops the replica after a fault and exits the process if so configured.
+    /// No further request is acknowledged.
+    fn fail(&mut self, cause: &str) {
         log::error!("event=replica_fault group={} cause=\"{cause}\"", self.group);
         self.stop();
         if self.limits.exit_on_fault {
@@ -365,47 +371,47 @@
         }
     }
 
-    /// Stops threads and gives up what is open.
+    /// Stops the replica's threads and fails all pending requests.
     fn stop(&mut self) {
-        if let Some(outside) = self.outside.take() {
-            outside.peers.stop();
+        if let Some(io) = self.io.take() {
+            io.peers.stop();
         }
-        self.waiting.give_up(GroupError::Unavailable);
+        self.pending.fail_all(GroupError::Unavailable);
     }
 
-    /// Takes what the replica's threads and peers say.
-    fn event(&mut self, now: Time, event: GroupEvent) {
+    /// Handles an event from the replica's threads or peers.
+    fn handle_event(&mut self, now: Time, event: GroupEvent) {
         match event {
             GroupEvent::Peer {
                 from,
                 addr,
                 message,
             } => {
-                if let Some(outside) = &self.outside {
-                    outside.peers.learn(from, addr);
+                if let Some(io) = &self.io {
+                    io.peers.set_addr(from, addr);
                 }
                 let message = *message;
                 self.step(now, Input::Message { from, message });
             }
-            GroupEvent::Persisted(ticket) => self.step(now, Input::Persisted(ticket)),
+            GroupEvent::Persisted(persist_id) => self.step(now, Input::Persisted(persist_id)),
             GroupEvent::SnapshotSaved(index) => {
-                self.since.saving = false;
+                self.since_snapshot.saving = false;
                 self.step(now, Input::SnapshotSaved(index));
             }
-            GroupEvent::SnapshotFailed => self.since.saving = false,
-            GroupEvent::DiskFailed(cause) => self.fault(&cause),
+            GroupEvent::SnapshotFailed => self.since_snapshot.saving = false,
+            GroupEvent::DiskFailed(cause) => self.fail(&cause),
         }
     }
 }
 
-/// How a proposal was taken.
-fn outcome(actions: &[Action]) -> Result<(LogIndex, Epoch), Refusal> {
-    let taken = actions.iter().find_map(|action| match action {
+/// Position of a proposal in the log, or why it was refused.
+fn proposal_outcome(actions: &[Action]) -> Result<(LogIndex, Epoch), Refusal> {
+    let outcome = actions.iter().find_map(|action| match action {
         Action::Proposed { index, term, .. } => Some(Ok((*index, *term))),
         Action::Refused { refusal, .. } => Some(Err(*refusal)),
         _ => None,
     });
-    taken.unwrap_or(Err(Refusal::NotReady))
+    outcome.unwrap_or(Err(Refusal::NotReady))
 }
 
 impl<M: StateMachine> Actor for ReplicatedGroup<M> {
@@ -414,8 +420,8 @@
     const TICK: Duration = Duration::from_millis(20);
 
     fn handle(&mut self, now: Time, msg: GroupMsg<M>) {
-        if self.outside.is_none() {
-            return refuse(msg);
+        if self.io.is_none() {
+            return refuse_stopped(msg);
         }
         match msg {
             GroupMsg::Propose { command, reply } => self.propose(now, &command, reply),
@@ -423,27 +429,27 @@
             GroupMsg::Change { change, reply } => self.change(now, change, reply),
             GroupMsg::Status(reply) => drop(reply.send(Some(self.replica.status()))),
             GroupMsg::Stop => self.stop(),
-            GroupMsg::Event(event) => self.event(now, event),
+            GroupMsg::Event(event) => self.handle_event(now, event),
         }
     }
 
     fn tick(&mut self, now: Time) {
-        if self.outside.is_some() {
+        if self.io.is_some() {
             self.step(now, Input::Tick);
         }
     }
 
     fn after_batch(&mut self, now: Time) {
-        if self.outside.is_some() {
+        if self.io.is_some() {
             let actions = self.replica.flush(now);
-            self.act(actions);
+            self.run_actions(actions);
             self.save_snapshot();
         }
     }
 }
 
-/// Answers for a replica that has stopped.
-fn refuse<M: StateMachine>(msg: GroupMsg<M>) {
+/// Refuses a message to a replica that has stopped.
+fn refuse_stopped<M: StateMachine>(msg: GroupMsg<M>) {
     match msg {
         GroupMsg::Propose { reply, .. } => drop(reply.send(Err(GroupError::Unavailable))),
         GroupMsg::Read { reply, .. } => drop(reply.send(Err(GroupError::Unavailable))),
@@ -459,8 +465,8 @@
 
 impl<M: StateMachine> Drop for ReplicatedGroup<M> {
     fn drop(&mut self) {
-        // A broken rule ends the thread by an assertion; the process must not
-        // go on as if the replica were only slow.
+        // A violated invariant panics this thread. The process must not keep
+        // running, since the replica would then only appear to be slow.
         if thread::panicking() && self.limits.exit_on_fault {
             log::logger().flush();
             std::process::exit(FAULT_EXIT_CODE);
--- a/crates/sapphirequayd/src/process/group/request.rs
+++ b/crates/sapphirequayd/src/process/group/request.rs
@@ -1,4 +1,4 @@
-//! Messages about groups between hosts, and from operators.
+//! Requests about groups from other hosts and from operators, and the replies.
 
 use {
     quay_quorum::{Membership, MembershipChange},
@@ -14,42 +14,42 @@
     Peer {
         /// The group.
         group: GroupId,
-        /// Sender.
+        /// Identity of the sender.
         from: NodeId,
-        /// Receiver; a host that got a new identity must not take what is
-        /// meant for the old one.
+        /// Identity of the receiver. A host with a new identity must not accept
+        /// messages for its old one.
         to: NodeId,
-        /// Address that the sender accepts links on.
+        /// Address on which the sender accepts links.
         addr: SocketAddr,
     },
-    /// Asks how the replica of a group stands.
+    /// Requests the status of the host's replica of a group.
     Status(GroupId),
-    /// Asks for a change of the members.
+    /// Requests a membership change of a group.
     Change(GroupId, MembershipChange),
 }
 
-/// Answer to [`QuorumRequest::Status`] and [`QuorumRequest::Change`].
+/// Reply to [`QuorumRequest::Status`] and [`QuorumRequest::Change`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QuorumReply {
-    /// How the replica stands.
+    /// Status of the replica.
     Status {
         /// Identity of the replica.
         node: NodeId,
-        /// The leader, if known.
+        /// Identity of the leader, if known.
         leader: Option<NodeId>,
-        /// Its term.
+        /// Current term of the replica.
         term: Epoch,
-        /// Last entry known as committed.
+        /// Index of the last entry known to be committed.
         commit: LogIndex,
-        /// Last entry.
+        /// Index of the last entry in the replica's log.
         last: LogIndex,
-        /// Latest members.
+        /// Latest members, committed or not.
         members: Membership,
     },
     /// The change is committed.
     Changed,
-    /// The change was proposed, and may yet be committed.
+    /// The change was proposed and may still be committed.
     Unknown,
-    /// Nothing happened; says why.
+    /// The request was refused and has no effect; holds the reason.
     Refused(Box<str>),
 }
--- a/crates/sapphirequayd/src/process/group/snapshots.rs
+++ b/crates/sapphirequayd/src/process/group/snapshots.rs
@@ -1,4 +1,4 @@
-//! The thread that saves snapshots and reads them for peers.
+//! Thread that saves snapshots and sends them to peers.
 
 use {
     super::{disk::DiskJob, peers::Peers, storage},
@@ -9,10 +9,10 @@
     std::sync::mpsc::{Receiver, Sender},
 };
 
-/// What the thread is told.
+/// Job of the snapshot thread.
 #[derive(Debug)]
 pub enum SnapshotJob<S> {
-    /// Save the state after an entry.
+    /// Save the state after the entry that the metadata names.
     Save(SnapshotMeta, S),
     /// Send the latest snapshot to a peer that lacks entries.
     Send {
@@ -23,19 +23,20 @@
     },
 }
 
-/// The thread that saves snapshots and reads them for peers.
-pub struct Snapshots {
-    /// Folder of the replica.
+/// Saves snapshots and sends them to peers, on a thread of its own.
+pub struct SnapshotWorker {
+    /// Data folder of the replica.
     pub folder: DiskFolder,
-    /// Where snapshots are sent.
+    /// Senders to the other replicas.
     pub peers: Peers,
-    /// The log's thread, which drops what a snapshot covers.
+    /// Jobs for the thread that writes the log, which compacts the log after
+    /// each snapshot.
     pub disk: Sender<DiskJob>,
 }
 
-impl Snapshots {
-    /// Works until the last sender is gone; tells the index of each save, or
-    /// `None` if it failed.
+impl SnapshotWorker {
+    /// Runs jobs until the last sender is dropped. Calls `saved` after each save
+    /// with the snapshot's index, or with `None` if the save failed.
     pub fn run<S: Serialize>(
         &self,
         jobs: &Receiver<SnapshotJob<S>>,
@@ -56,19 +57,19 @@
         }
     }
 
-    /// Saves a snapshot and lets the log drop what it covers.
+    /// Saves a snapshot, then requests compaction of the entries it covers.
     fn save(&self, meta: &SnapshotMeta, state: &impl Serialize) -> Result<(), LogError> {
         let data = postcard::to_stdvec(state).map_err(LogError::Encode)?;
-        let snapshot = storage::snapshot_of(meta, data.into())?;
+        let snapshot = storage::encode_snapshot(meta, data.into())?;
         save_snapshot(&self.folder, &snapshot)?;
         let _ = self.disk.send(DiskJob::Compact(snapshot.index));
         Ok(())
     }
 
-    /// Sends the latest snapshot.
+    /// Sends the latest snapshot to a peer.
     fn send(&self, to: NodeId, term: Epoch) {
         match storage::latest_snapshot(&self.folder) {
-            Ok(Some(storage::Stored { meta, data })) => {
+            Ok(Some(storage::StoredSnapshot { meta, data })) => {
                 let index = meta.position.index;
                 log::info!(
                     "event=snapshot_sent peer={to} index={index} bytes={}",
--- a/crates/sapphirequayd/src/process/group/start_error.rs
+++ b/crates/sapphirequayd/src/process/group/start_error.rs
@@ -1,4 +1,4 @@
-//! Ways in which the replicas of a host can fail to start.
+//! Errors when the replicas of a host are started.
 
 use {
     crate::settings::Problem,
@@ -6,14 +6,14 @@
     std::{fmt, io, path::PathBuf},
 };
 
-/// Why replicas could not start.
+/// Why a replica could not be started.
 #[derive(Debug)]
 pub enum GroupStartError {
-    /// The settings don't fit each other or the data folder.
+    /// The settings contradict each other or the data folder.
     Settings(Problem),
-    /// A folder or a thread can't be had.
+    /// A folder could not be opened or created, or a thread not started.
     Io(PathBuf, io::Error),
-    /// The log of a folder can't be used.
+    /// A file in the data folder could not be read or written.
     Log(PathBuf, LogError),
 }
 
--- a/crates/sapphirequayd/src/process/group/storage.rs
+++ b/crates/sapphirequayd/src/process/group/storage.rs
@@ -1,4 +1,4 @@
-//! What a replica keeps in its folder.
+//! Data folder of a replica: identity, log and snapshots.
 
 use {
     quay_log::{
@@ -9,10 +9,10 @@
     quay_types::{LogIndex, NodeId},
 };
 
-/// File that holds the identity of a host.
+/// Name of the file that holds the identity of a host.
 const IDENTITY: &str = "identity";
 
-/// Reads the identity of a data folder; `None` if it is new.
+/// Reads the identity of a data folder; `None` if the folder is new.
 pub fn read_identity(folder: &DiskFolder) -> Result<Option<NodeId>, LogError> {
     let names = folder.list().map_err(|err| LogError::Io {
         file: "folder".into(),
@@ -25,10 +25,10 @@
     Ok(Some(NodeId(node)))
 }
 
-/// The identity of a host that did not start its groups, from a drawn number.
-/// Those that settings name are far smaller.
-pub const fn draw_node(drawn: u64) -> NodeId {
-    NodeId(drawn | 1 << 63)
+/// Identity, from a random number, of a host that did not bootstrap its groups.
+/// The highest bit is set: identities in settings are far smaller.
+pub const fn random_node_id(random: u64) -> NodeId {
+    NodeId(random | 1 << 63)
 }
 
 /// Writes the identity of a new data folder.
@@ -36,19 +36,19 @@
     write_atomic(folder, IDENTITY, node.0, &[])
 }
 
-/// The stored form of a snapshot.
-pub fn snapshot_of(meta: &SnapshotMeta, data: Box<[u8]>) -> Result<Snapshot, LogError> {
-    let head = postcard::to_stdvec(&meta.members).map_err(LogError::Encode)?;
+/// Converts a snapshot to its stored form.
+pub fn encode_snapshot(meta: &SnapshotMeta, data: Box<[u8]>) -> Result<Snapshot, LogError> {
+    let members = postcard::to_stdvec(&meta.members).map_err(LogError::Encode)?;
     Ok(Snapshot {
         index: meta.position.index,
         term: meta.position.term,
-        metadata: head.into(),
+        metadata: members.into(),
         data,
     })
 }
 
-/// What a stored snapshot stands for.
-fn meta_of(snapshot: &Snapshot) -> Result<SnapshotMeta, LogError> {
+/// Decodes the metadata of a stored snapshot.
+fn decode_meta(snapshot: &Snapshot) -> Result<SnapshotMeta, LogError> {
     let members: Membership = postcard::from_bytes(&snapshot.metadata).map_err(LogError::Encode)?;
     let position = Position {
         term: snapshot.term,
@@ -57,57 +57,57 @@
     Ok(SnapshotMeta { position, members })
 }
 
-/// A snapshot that was read.
+/// A snapshot read from a data folder.
 #[derive(Debug)]
-pub struct Stored {
-    /// What it stands for.
+pub struct StoredSnapshot {
+    /// Log position and members at the snapshot.
     pub meta: SnapshotMeta,
     /// The encoded state.
     pub data: Box<[u8]>,
 }
 
 /// Reads the newest snapshot of a folder.
-pub fn latest_snapshot(folder: &DiskFolder) -> Result<Option<Stored>, LogError> {
+pub fn latest_snapshot(folder: &DiskFolder) -> Result<Option<StoredSnapshot>, LogError> {
     match read_newest_snapshot(folder)? {
-        Some(snapshot) => Ok(Some(Stored {
-            meta: meta_of(&snapshot)?,
+        Some(snapshot) => Ok(Some(StoredSnapshot {
+            meta: decode_meta(&snapshot)?,
             data: snapshot.data,
         })),
         None => Ok(None),
     }
 }
 
-/// What a new group starts with.
+/// Initial members and state of a new group.
 #[derive(Debug)]
-pub struct First {
-    /// Its members.
+pub struct InitialState {
+    /// Initial members.
     pub members: Membership,
-    /// The encoded state in which nothing has happened.
+    /// The encoded state before any command.
     pub state: Box<[u8]>,
 }
 
-/// A replica's log as it was opened.
+/// An opened log with what was recovered from it.
 #[derive(Debug)]
-pub struct Opened {
-    /// The log.
+pub struct OpenedLog {
+    /// The log, open for writing.
     pub log: Log<DiskFolder>,
-    /// What the replica starts from.
+    /// Persisted state from which the replica restarts.
     pub restart: PersistedState,
     /// Encoded state of the snapshot, if there is one.
     pub state: Option<Box<[u8]>>,
 }
 
-impl Opened {
-    /// Last entry of the log.
-    pub fn restart_last(&self) -> LogIndex {
+impl OpenedLog {
+    /// Index of the last entry, or of the snapshot if the log is empty.
+    pub fn last_index(&self) -> LogIndex {
         let last = self.restart.entries.last().map(Entry::index);
         last.unwrap_or(self.restart.meta.position.index)
     }
 }
 
-/// Opens the log of a replica; a new one starts with `first`, or with no
-/// members if it is to be made a learner.
-pub fn open(folder: &DiskFolder, first: Option<First>) -> Result<Opened, LogError> {
+/// Opens the log of a replica. A new log starts with `initial`, or without
+/// members if `initial` is `None`, as on a host that is to be added as a learner.
+pub fn open(folder: &DiskFolder, initial: Option<InitialState>) -> Result<OpenedLog, LogError> {
     let (log, mut recovered) = Log::open(folder.clone(), LogSettings::default())?;
     if let Some(cut) = &recovered.cut {
         log::warn!(
@@ -118,29 +118,30 @@
         );
     }
     let new = recovered.snapshot.is_none() && recovered.entries.is_empty();
-    if let (true, Some(first)) = (new, first) {
+    if let (true, Some(initial)) = (new, initial) {
         let meta = SnapshotMeta {
             position: Position::default(),
-            members: first.members,
+            members: initial.members,
         };
-        let snapshot = snapshot_of(&meta, first.state)?;
+        let snapshot = encode_snapshot(&meta, initial.state)?;
         save_snapshot(folder, &snapshot)?;
         recovered.snapshot = Some(snapshot);
     }
     let meta = match &recovered.snapshot {
-        Some(snapshot) => meta_of(snapshot)?,
+        Some(snapshot) => decode_meta(snapshot)?,
         None => SnapshotMeta::default(),
     };
-    Ok(Opened {
+    Ok(OpenedLog {
         log,
-        restart: restart_of(&recovered, meta)?,
+        restart: persisted_state(&recovered, meta)?,
         state: recovered.snapshot.map(|snapshot| snapshot.data),
     })
 }
 
-/// What a replica starts from.
-fn restart_of(recovered: &Recovered, meta: SnapshotMeta) -> Result<PersistedState, LogError> {
-    let entries: Result<Vec<Entry>, LogError> = recovered.entries.iter().map(entry_of).collect();
+/// Persisted state from a recovered log and the metadata of its snapshot.
+fn persisted_state(recovered: &Recovered, meta: SnapshotMeta) -> Result<PersistedState, LogError> {
+    let entries: Result<Vec<Entry>, LogError> =
+        recovered.entries.iter().map(decode_entry).collect();
     Ok(PersistedState {
         hard_state: HardState {
             term: recovered.hard_state.term,
@@ -151,8 +152,8 @@
     })
 }
 
-/// The entry of a stored one.
-fn entry_of(stored: &LogEntry) -> Result<Entry, LogError> {
+/// Decodes a stored entry.
+fn decode_entry(stored: &LogEntry) -> Result<Entry, LogError> {
     Ok(Entry {
         position: Position {
             term: stored.term,
--- a/crates/sapphirequayd/tests/groups.rs
+++ b/crates/sapphirequayd/tests/groups.rs
@@ -1,4 +1,4 @@
-//! Replicated groups over real sockets and real files.
+//! Tests of replicated groups over real sockets and files.
 
 #[path = "common/ports.rs"]
 mod ports;
@@ -22,12 +22,12 @@
     tempfile::TempDir,
 };
 
-/// Longest wait for what must come in time.
+/// Deadline for each wait.
 const LIMIT: Duration = Duration::from_secs(30);
 
 const GROUP: GroupId = GroupId(1);
 
-/// Keeps every number that was added.
+/// State machine that keeps the set of added numbers, in order of addition.
 #[derive(Debug, Default)]
 struct Numbers(Vec<u64>);
 
@@ -58,7 +58,7 @@
     }
 }
 
-/// One host: its links and its replica.
+/// One host with its links and its replica of the group.
 struct Host {
     _links: Links,
     groups: GroupHost,
@@ -101,15 +101,15 @@
     }
 }
 
-/// Three hosts with a folder each.
-struct Three {
+/// Cluster of three hosts with a data folder each.
+struct Cluster {
     keys: DevelopmentKeys,
     dir: TempDir,
     peers: Vec<PeerSettings>,
     hosts: Vec<Host>,
 }
 
-impl Three {
+impl Cluster {
     fn start() -> Self {
         let keys = DevelopmentKeys::generate().expect("keys");
         let dir = tempfile::tempdir().expect("folder");
@@ -120,17 +120,17 @@
                 data_centre: format!("dc-{node}").into(),
             })
             .collect();
-        let mut three = Self {
+        let mut cluster = Self {
             keys,
             dir,
             peers,
             hosts: Vec::new(),
         };
         for slot in 0..3 {
-            let host = three.start_host(slot, true);
-            three.hosts.push(host);
+            let host = cluster.start_host(slot, true);
+            cluster.hosts.push(host);
         }
-        three
+        cluster
     }
 
     fn start_host(&self, slot: usize, bootstrap: bool) -> Host {
@@ -144,7 +144,7 @@
         start(&self.keys, &settings, self.peers[slot].addr)
     }
 
-    /// Adds a number at whoever leads; the host that did.
+    /// Adds a number through the leader; returns the index of the leader's host.
     fn add(&self, number: u64) -> usize {
         let started = Instant::now();
         loop {
@@ -157,12 +157,12 @@
                     return slot;
                 }
             }
-            assert!(started.elapsed() < LIMIT, "no leader took {number}");
+            assert!(started.elapsed() < LIMIT, "no leader accepted {number}");
             thread::sleep(Duration::from_millis(10));
         }
     }
 
-    /// Reads at whoever leads.
+    /// Reads the numbers from the leader.
     fn read(&self) -> Vec<u64> {
         let started = Instant::now();
         loop {
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Changes members at whoever leads.
+    /// Changes the membership through the leader.
     fn change(&self, change: &MembershipChange) {
         let started = Instant::now();
         loop {
@@ -188,12 +188,12 @@
                     return;
                 }
             }
-            assert!(started.elapsed() < LIMIT, "{change:?} was not taken");
+            assert!(started.elapsed() < LIMIT, "no leader accepted {change:?}");
             thread::sleep(Duration::from_millis(10));
         }
     }
 
-    /// Stops a host for good.
+    /// Stops a host and removes it from the cluster.
     fn stop(&mut self, slot: usize) -> Host {
         let host = self.hosts.remove(slot);
         host.group.send(GroupMsg::Stop);
@@ -201,34 +201,34 @@
     }
 }
 
-/// How many applied entries a host's replica has.
-fn commit(host: &Host) -> u64 {
+/// Index of the last entry that a host knows to be committed.
+fn commit_index(host: &Host) -> u64 {
     let status = host.group.ask(GroupMsg::Status).flatten().expect("status");
     status.commit.0
 }
 
 #[test]
-fn a_new_leader_has_all_that_was_acknowledged() {
-    let mut three = Three::start();
+fn a_new_leader_has_all_acknowledged_commands() {
+    let mut cluster = Cluster::start();
     let mut leader = 0;
     for number in 0..40 {
-        leader = three.add(number);
+        leader = cluster.add(number);
     }
-    let gone = three.stop(leader);
-    let refused = gone
+    let stopped = cluster.stop(leader);
+    let refused = stopped
         .group
         .ask(|reply| GroupMsg::Propose { command: 99, reply });
     assert_eq!(refused, Some(Err(GroupError::Unavailable)));
-    three.add(40);
-    assert_eq!(three.read(), (0..=40).collect::<Vec<_>>());
+    cluster.add(40);
+    assert_eq!(cluster.read(), (0..=40).collect::<Vec<_>>());
 }
 
 #[test]
-fn a_follower_names_the_leader() {
-    let three = Three::start();
-    let leader = three.add(1);
-    let expected = Some(Err(GroupError::NotLeader(Some(three.hosts[leader].addr))));
-    for (slot, host) in three
+fn a_follower_returns_the_address_of_the_leader() {
+    let cluster = Cluster::start();
+    let leader = cluster.add(1);
+    let expected = Some(Err(GroupError::NotLeader(Some(cluster.hosts[leader].addr))));
+    for (slot, host) in cluster
         .hosts
         .iter()
         .enumerate()
@@ -249,15 +249,15 @@
 }
 
 #[test]
-fn without_a_quorum_nothing_is_taken() {
-    let mut three = Three::start();
-    let leader = three.add(1);
+fn without_a_quorum_requests_are_refused() {
+    let mut cluster = Cluster::start();
+    let leader = cluster.add(1);
     let others: Vec<usize> = (0..3).rev().filter(|slot| *slot != leader).collect();
-    let gone: Vec<Host> = others.into_iter().map(|slot| three.stop(slot)).collect();
+    let stopped: Vec<Host> = others.into_iter().map(|slot| cluster.stop(slot)).collect();
     let started = Instant::now();
-    // Unavailable or not leader say that nothing happened.
+    // Both errors state that the request was not processed.
     loop {
-        let asked = three.hosts[0]
+        let asked = cluster.hosts[0]
             .group
             .ask(|reply| GroupMsg::Read { query: (), reply });
         match asked {
@@ -265,40 +265,40 @@
             other => assert!(started.elapsed() < LIMIT, "{other:?}"),
         }
     }
-    drop(gone);
+    drop(stopped);
 }
 
 #[test]
-fn a_lost_disk_comes_back_as_a_new_member() {
-    let mut three = Three::start();
+fn a_host_that_lost_its_disk_rejoins_as_a_new_member() {
+    let mut cluster = Cluster::start();
     for number in 0..120 {
-        three.add(number);
+        cluster.add(number);
     }
-    let leader = three.add(120);
+    let leader = cluster.add(120);
     let lost = (leader + 1) % 3;
-    let lost_node = three.hosts[lost].groups.node().expect("node");
-    drop(three.stop(lost));
-    // A new folder, and not the one that starts a group.
+    let lost_node = cluster.hosts[lost].groups.node().expect("node");
+    drop(cluster.stop(lost));
+    // A new data folder, on a host that does not bootstrap the group.
     let settings = LedgerSettings {
-        data: Some(three.dir.path().join("new")),
+        data: Some(cluster.dir.path().join("new")),
         ..LedgerSettings::default()
     };
     let addr = free_port();
-    let new = start(&three.keys, &settings, addr);
+    let new = start(&cluster.keys, &settings, addr);
     let node = new.groups.node().expect("node");
     assert_ne!(node, lost_node);
-    three.hosts.push(new);
+    cluster.hosts.push(new);
     let member = Member::new(node, addr, "dc-2");
-    three.change(&MembershipChange::AddLearner(member));
-    three.change(&MembershipChange::Promote(node));
-    three.change(&MembershipChange::Remove(lost_node));
-    // The new member makes the quorum with one of the old ones.
-    let leader = three.add(121);
+    cluster.change(&MembershipChange::AddLearner(member));
+    cluster.change(&MembershipChange::Promote(node));
+    cluster.change(&MembershipChange::Remove(lost_node));
+    // The new member forms a quorum with one of the old members.
+    let leader = cluster.add(121);
     let old = (0..2).find(|slot| *slot != leader).expect("an old member");
-    drop(three.stop(old));
-    three.add(122);
-    assert_eq!(three.read(), (0..=122).collect::<Vec<_>>());
-    assert!(three.hosts.iter().all(|host| commit(host) > 120));
+    drop(cluster.stop(old));
+    cluster.add(122);
+    assert_eq!(cluster.read(), (0..=122).collect::<Vec<_>>());
+    assert!(cluster.hosts.iter().all(|host| commit_index(host) > 120));
 }
 
 #[test]
@@ -320,11 +320,11 @@
     let text = open(7, dir.path())
         .expect_err("another identity")
         .to_string();
-    assert!(text.contains("[ledger] node: 7 is named"), "{text}");
+    assert!(text.contains("[ledger] node: 7 is configured"), "{text}");
 }
 
 #[test]
-fn settings_that_do_not_fit_are_named() {
+fn invalid_settings_are_reported() {
     let peer = |node| PeerSettings {
         node,
         addr: free_port(),
@@ -378,29 +378,29 @@
 }
 
 #[test]
-fn a_copy_of_a_running_host_starts_the_group_again() {
-    let mut three = Three::start();
+fn a_backup_of_a_running_host_restores_the_group() {
+    let mut cluster = Cluster::start();
     for number in 0..130 {
-        three.add(number);
+        cluster.add(number);
     }
-    let copy = three.dir.path().join("copy");
-    let leader = three.add(130);
-    let copied = sapphirequayd::backup(&three.dir.path().join(leader.to_string()), &copy);
-    let copied = copied.expect("copy");
-    assert!(copied[0].last > LogIndex(130), "{copied:?}");
-    let (addr, data) = (free_port(), three.dir.path().join("restored"));
-    let node = sapphirequayd::restore(&copy, &data, addr, "dc-1").expect("restored");
+    let backup = cluster.dir.path().join("backup");
+    let leader = cluster.add(130);
+    let backups = sapphirequayd::backup(&cluster.dir.path().join(leader.to_string()), &backup);
+    let backups = backups.expect("backup");
+    assert!(backups[0].last > LogIndex(130), "{backups:?}");
+    let (addr, data) = (free_port(), cluster.dir.path().join("restored"));
+    let node = sapphirequayd::restore(&backup, &data, addr, "dc-1").expect("restored");
     let settings = LedgerSettings {
         data: Some(data),
         ..LedgerSettings::default()
     };
-    // The old hosts are gone; the new one is the group.
+    // The old hosts stop; the restored host is the only member.
     for slot in (0..3).rev() {
-        drop(three.stop(slot));
+        drop(cluster.stop(slot));
     }
-    let host = start(&three.keys, &settings, addr);
+    let host = start(&cluster.keys, &settings, addr);
     assert_eq!(host.groups.node(), Some(node));
-    three.hosts.push(host);
-    three.add(131);
-    assert_eq!(three.read(), (0..=131).collect::<Vec<_>>());
+    cluster.hosts.push(host);
+    cluster.add(131);
+    assert_eq!(cluster.read(), (0..=131).collect::<Vec<_>>());
 }
--- a/crates/sapphirequayd/tests/ledger_hosts.rs
+++ b/crates/sapphirequayd/tests/ledger_hosts.rs
@@ -1,4 +1,5 @@
-//! Three ledger hosts as processes of their own, killed as `kill -9` does.
+//! Tests of three ledger hosts in separate processes that are killed as by
+//! `kill -9`.
 
 #[path = "common/ports.rs"]
 mod ports;
@@ -18,10 +19,10 @@
     },
 };
 
-/// Longest wait for what must come in time.
+/// Deadline for each wait.
 const LIMIT: Duration = Duration::from_secs(30);
 
-/// The first configuration document; its commit is what must survive.
+/// Initial configuration document; its commit must survive the kill.
 const DOCUMENT: &str = "[platform.owners]\nplatform = [\"operator\"]\n[platform.models.m]\n";
 
 /// A process that is killed when the test ends.
@@ -69,7 +70,7 @@
     fs::write(dir.join("document.toml"), DOCUMENT).expect("document");
 }
 
-/// Leader and last committed entry of the control group, as one host sees it.
+/// Leader and last committed entry of the control group, as reported by a host.
 fn status(links: &Links, addr: SocketAddr) -> Option<(Option<NodeId>, LogIndex)> {
     let req = LinkRequest::Quorum(QuorumRequest::Status(GroupId(0)));
     let mut stream = links.open(addr, LinkRole::Ledger, &req).ok()?;
@@ -79,47 +80,50 @@
     }
 }
 
-/// Waits until a host knows a leader that fits and has committed enough.
+/// Waits until a host reports an expected leader and has committed the entry at
+/// `commit`; returns the leader and the last committed entry.
 fn wait_for(
     links: &Links,
     addr: SocketAddr,
     commit: LogIndex,
-    fits: impl Fn(NodeId) -> bool,
+    is_expected: impl Fn(NodeId) -> bool,
 ) -> (NodeId, LogIndex) {
     let started = Instant::now();
     loop {
         let seen = status(links, addr);
         if let Some((Some(leader), at)) = seen
             && at >= commit
-            && fits(leader)
+            && is_expected(leader)
         {
             return (leader, at);
         }
-        assert!(started.elapsed() < LIMIT, "{seen:?}");
+        assert!(started.elapsed() < LIMIT, "last status of {addr}: {seen:?}");
         thread::sleep(Duration::from_millis(50));
     }
 }
 
 #[test]
-fn a_killed_leader_is_replaced_and_comes_back_with_all() {
+fn a_killed_leader_is_replaced_and_catches_up_after_its_restart() {
     let folder = tempfile::tempdir().expect("folder");
     let dir = folder.path();
     let keys = DevelopmentKeys::generate().expect("keys");
-    let none: [&str; 0] = [];
-    keys.write(&dir.join("keys"), &none).expect("keys");
+    let operators: [&str; 0] = [];
+    keys.write(&dir.join("keys"), &operators).expect("keys");
     let addrs = [free_port(), free_port(), free_port()];
     write_settings(dir, &addrs);
     let mut hosts: Vec<Option<Process>> = (0..3).map(|slot| Some(run(dir, slot))).collect();
     let links = Links::connect_only(keys.identity(LinkRole::Operator).expect("identity"));
     let links = links.expect("links");
 
-    // Entry 1 starts the leader's term, entry 2 is the document.
+    // Entry 1 is the empty entry of the leader's term, entry 2 the document.
     let (leader, commit) = wait_for(&links, addrs[0], LogIndex(2), |_| true);
     let slot = usize::try_from(leader.0 - 1).expect("slot");
     hosts[slot] = None;
     let other = (slot + 1) % 3;
     let after = LogIndex(commit.0 + 1);
-    let (_, reached) = wait_for(&links, addrs[other], after, |now| now != leader);
+    let (_, new_commit) = wait_for(&links, addrs[other], after, |new_leader| {
+        new_leader != leader
+    });
     hosts[slot] = Some(run(dir, slot));
-    wait_for(&links, addrs[slot], reached, |_| true);
+    wait_for(&links, addrs[slot], new_commit, |_| true);
 }
