--- a/crates/sapphirequayd/tests/common/processes.rs
+++ b/crates/sapphirequayd/tests/common/processes.rs
@@ -1,4 +1,4 @@
-//! Daemons as processes that a test may kill.
+//! Daemons in separate processes that a test may kill.
 
 use {
     super::{document, free_port},
@@ -12,7 +12,7 @@
     tempfile::TempDir,
 };
 
-/// What a process does.
+/// Role of a process; the number tells processes of the same role apart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
     Ledger(usize),
@@ -31,23 +31,24 @@
     ];
 }
 
-/// Three ledgers with their files, two entries and the sidecar of a service.
+/// Processes of three ledger hosts with data folders, two entries and the
+/// sidecar of a service.
 pub struct Processes {
     pub entries: [SocketAddr; 2],
     children: Vec<(Role, Child)>,
     folder: TempDir,
 }
 
-/// Addresses of every process, and the folder of all files.
-struct Plan<'a> {
+/// Addresses of the processes, and the folder that holds their files.
+struct Topology<'a> {
     service: SocketAddr,
     ledgers: [SocketAddr; 3],
     entries: [SocketAddr; 2],
     folder: &'a Path,
 }
 
-impl Plan<'_> {
-    /// Settings of one process.
+impl Topology<'_> {
+    /// Contents of the settings file of a process.
     fn settings(&self, role: Role) -> String {
         let (listen, table) = match role {
             Role::Ledger(slot) => (self.ledgers[slot], self.ledger(slot)),
@@ -97,17 +98,17 @@
             .expect("keys");
         let first = document(&[("a", "key-a")]);
         fs::write(folder.path().join("first.toml"), first).expect("document");
-        let plan = Plan {
+        let topology = Topology {
             service,
             ledgers: [free_port(), free_port(), free_port()],
             entries: [free_port(), free_port()],
             folder: folder.path(),
         };
         for role in Role::ALL {
-            fs::write(file(folder.path(), role), plan.settings(role)).expect("settings");
+            fs::write(file(folder.path(), role), topology.settings(role)).expect("settings");
         }
         let mut processes = Self {
-            entries: plan.entries,
+            entries: topology.entries,
             children: Vec::new(),
             folder,
         };
@@ -129,16 +130,19 @@
         self.children.push((role, child));
     }
 
-    /// Kills the process of a role as `kill -9` does.
+    /// Kills the process of a role as by `kill -9`.
     pub fn kill(&mut self, role: Role) {
-        let slot = self.children.iter().position(|(it, _)| *it == role);
+        let slot = self
+            .children
+            .iter()
+            .position(|(running, _)| *running == role);
         let (_, mut child) = self.children.remove(slot.expect("a running process"));
         child.kill().expect("kill");
         child.wait().expect("wait");
     }
 }
 
-/// Settings file of a role.
+/// Path of the settings file of a role.
 fn file(folder: &Path, role: Role) -> std::path::PathBuf {
     folder.join(format!("{role:?}.toml"))
 }
--- a/crates/sapphirequayd/tests/control.rs
+++ b/crates/sapphirequayd/tests/control.rs
@@ -1,4 +1,5 @@
-//! Tests of the control group over real sockets: roles, drains, refusals.
+//! Tests of the control group over real sockets: authorization by role, drains,
+//! stale configurations and quarantines.
 
 mod common;
 
@@ -35,10 +36,11 @@
     Links::connect_only(running.keys.identity(role).expect("identity")).expect("links")
 }
 
-/// Whether a peer answered anything but the end of the stream.
-fn answers(links: &Links, addr: SocketAddr, role: LinkRole, req: &LinkRequest) -> bool {
+/// Whether the peer answered the request instead of closing the stream.
+fn is_answered(links: &Links, addr: SocketAddr, role: LinkRole, req: &LinkRequest) -> bool {
     let mut stream = links.open(addr, role, req).expect("stream");
-    // The type of the answer does not matter: one of another type is an answer.
+    // The content of the reply does not matter: a reply of another type, which
+    // fails to decode, counts as an answer.
     !matches!(stream.recv::<u8>(), Err(LinkError::Finished))
 }
 
@@ -58,13 +60,13 @@
 }
 
 #[test]
-fn a_key_acts_in_its_own_role_only() {
+fn a_key_is_accepted_only_in_its_own_role() {
     use LinkRole::{Entry, Ledger, Operator, Sidecar};
     let (running, _engine) = start(EngineSettings::default());
     let ledger = running.ledger.link_addr().expect("address");
     let sidecar = running.sidecar.link_addr().expect("address");
     let program = ProgramId::root(1);
-    let beat = Heartbeat {
+    let heartbeat = Heartbeat {
         upstream: UpstreamId::of("engine-1"),
         incarnation: Incarnation(1),
         sequence: 1,
@@ -82,7 +84,7 @@
         until_ms: 0,
         cause: "x".into(),
     };
-    let inquire = SidecarRequest::QueryPermit(PermitId::default(), Incarnation(1));
+    let query_permit = SidecarRequest::QueryPermit(PermitId::default(), Incarnation(1));
     let show = LedgerRequest::Show(program, AccountId::of("a"));
     let cases = [
         (
@@ -94,7 +96,7 @@
         (
             ledger,
             Ledger,
-            LinkRequest::Members(MembersRequest::Heartbeat(beat)),
+            LinkRequest::Members(MembersRequest::Heartbeat(heartbeat)),
             vec![Sidecar],
         ),
         (
@@ -133,20 +135,25 @@
             LinkRequest::Control(order("d", Action::Drain("x".into()))),
             vec![Operator],
         ),
-        (sidecar, Sidecar, LinkRequest::Sidecar(inquire), vec![Entry]),
+        (
+            sidecar,
+            Sidecar,
+            LinkRequest::Sidecar(query_permit),
+            vec![Entry],
+        ),
     ];
     for role in LinkRole::ALL {
         let links = links(&running, role);
         for (addr, server, req, allowed) in &cases {
-            let answered = answers(&links, *addr, *server, req);
+            let answered = is_answered(&links, *addr, *server, req);
             assert_eq!(answered, allowed.contains(&role), "{role} asks {req:?}");
         }
     }
 }
 
 #[test]
-fn a_drained_upstream_gets_nothing_new_and_finishes_what_runs() {
-    // The answer takes some seconds.
+fn a_drained_upstream_refuses_new_calls_and_finishes_running_ones() {
+    // A slow engine, so that the call still runs during the drain.
     let (running, engine) = start(EngineSettings {
         token_gap: Duration::from_millis(200),
         ..EngineSettings::default()
@@ -154,7 +161,7 @@
     let (addr, ledger) = (running.addr(), running.ledger.link_addr().expect("address"));
     let operator = links(&running, LinkRole::Operator);
     let running_call = thread::spawn(move || post(addr, KEY, &completion(false)));
-    wait_for("the call runs", || engine.counts().running == 1);
+    wait_for("the engine runs the call", || engine.counts().running == 1);
 
     let drained = control(
         &operator,
@@ -165,7 +172,7 @@
         matches!(drained, ControlReply::Command(Ok(_))),
         "{drained:?}"
     );
-    wait_for("the sidecar refuses", || {
+    wait_for("the sidecar has the configuration with the drain", || {
         running.sidecar.config_index() >= ConfigIndex(3)
     });
     let started = engine.counts().started;
@@ -189,14 +196,14 @@
     while post_once(addr, KEY, &completion(false)).0 != 200 {
         assert!(
             began.elapsed() < WAIT_TIMEOUT,
-            "the upstream did not come back"
+            "the upstream still refuses calls after the undrain"
         );
         thread::sleep(Duration::from_millis(50));
     }
 }
 
 #[test]
-fn the_directory_shows_a_drain_mark() {
+fn the_directory_shows_a_draining_upstream() {
     let (running, _engine) = start(EngineSettings::default());
     let ledger = running.ledger.link_addr().expect("address");
     let operator = links(&running, LinkRole::Operator);
@@ -205,7 +212,7 @@
         ledger,
         order("d-1", Action::Drain("engine-1".into())),
     );
-    wait_for("the directory shows the mark", || {
+    wait_for("the directory shows the upstream as draining", || {
         let reply = control(&operator, ledger, ControlRequest::Members);
         let ControlReply::Members(rows) = reply else {
             panic!("{reply:?}");
@@ -215,18 +222,18 @@
 }
 
 #[test]
-fn an_entry_without_a_document_says_why_it_waits() {
+fn an_entry_without_a_configuration_reports_the_reason() {
     let keys = quay_link::DevelopmentKeys::generate().expect("keys");
-    // Nobody listens there: the ledger is on the other side of a partition.
-    let away = std::net::UdpSocket::bind("127.0.0.1:0").expect("socket");
+    // A socket that never replies stands for a ledger behind a network partition.
+    let silent = std::net::UdpSocket::bind("127.0.0.1:0").expect("socket");
     let settings = sapphirequayd::Settings {
         entry: Some(EntrySettings::default()),
-        ..common::settings("entry-1", &[away.local_addr().expect("address")])
+        ..common::settings("entry-1", &[silent.local_addr().expect("address")])
     };
     let identity = keys.identity(LinkRole::Entry).expect("identity");
     let entry = Daemon::start(&settings, identity).expect("entry");
     let addr = entry.callers_addr().expect("address");
-    wait_for("the reason", || {
+    wait_for("the entry reports the unreachable control group", || {
         let (status, text) = post_once(addr, KEY, &completion(false));
         assert_eq!(status, 503, "{text}");
         assert!(text.contains(r#""kind":"config_stale""#), "{text}");
@@ -237,7 +244,7 @@
 }
 
 #[test]
-fn work_begun_under_an_old_index_is_refused_after_the_grace() {
+fn requests_under_an_old_configuration_are_refused_after_the_grace_period() {
     let (running, _engine) = start(EngineSettings::default());
     let ledger = running.ledger.link_addr().expect("address");
     let operator = links(&running, LinkRole::Operator);
@@ -285,7 +292,7 @@
         stream.recv().expect("reply")
     };
     let mut n = 0;
-    wait_for("the old index is refused", || {
+    wait_for("the old configuration index is refused", || {
         n += 1;
         format!("{:?}", ask(n, ConfigIndex(1))).contains("ConfigStale")
     });
@@ -317,11 +324,15 @@
         cause: "two crashes".into(),
     };
     control(&entry, ledger, quarantine);
-    wait_for("the entry refuses", || post_once(addr, KEY, &body).0 == 422);
+    wait_for("the entry refuses the content", || {
+        post_once(addr, KEY, &body).0 == 422
+    });
     control(
         &operator,
         ledger,
         order("q-2", Action::ClearQuarantine(Some(digest))),
     );
-    wait_for("it runs again", || post_once(addr, KEY, &body).0 == 200);
+    wait_for("the content is accepted again", || {
+        post_once(addr, KEY, &body).0 == 200
+    });
 }
--- a/crates/sapphirequayd/tests/kill.rs
+++ b/crates/sapphirequayd/tests/kill.rs
@@ -1,7 +1,7 @@
-//! Processes killed in the midst of calls that may not run twice.
+//! Tests that kill processes during calls that must run at most once.
 //!
-//! The service counts what it runs: never twice, and never at all where the
-//! caller was told that nothing ran.
+//! The service counts the runs of each order: no order may run twice, and none
+//! may run whose caller was told `not_run`.
 
 mod common;
 
@@ -10,8 +10,8 @@
     std::{net::SocketAddr, thread, time::Duration},
 };
 
-/// Headers of a call that may not run twice.
-fn once(key: &str) -> [(&str, &str); 2] {
+/// Headers of a call that must run at most once.
+fn at_most_once(key: &str) -> [(&str, &str); 2] {
     [
         ("Idempotency-Key", key),
         ("Sapphirequay-Idempotent", "false"),
@@ -27,44 +27,48 @@
     }
 }
 
-/// Starts every process and waits until both entries can reach the service.
+/// Starts all processes and waits until both entries can reach the service.
 fn start(service: &CountingService) -> Processes {
     let processes = Processes::start(service.addr());
     for entry in processes.entries {
-        wait_for("an entry answers", || {
+        wait_for("an entry reaches the service", || {
             order(&[], "warm")
                 .try_send(entry)
-                .is_some_and(|got| got.0 == 200)
+                .is_some_and(|answer| answer.0 == 200)
         });
     }
     processes
 }
 
-/// Sends an order by a thread of its own and waits until the service runs it.
+/// Sends an order on a separate thread and waits until the service runs it.
 fn send_until_it_runs(
     service: &CountingService,
     entry: SocketAddr,
     key: &'static str,
 ) -> thread::JoinHandle<Option<(u16, String)>> {
-    let sent = thread::spawn(move || order(&once(key), key).try_send(entry));
+    let sent = thread::spawn(move || order(&at_most_once(key), key).try_send(entry));
     wait_for("the service runs the order", || service.runs(key) == 1);
     sent
 }
 
 #[test]
-fn an_order_outlives_its_entry() {
+fn an_order_survives_a_killed_entry() {
     let service = CountingService::start(Duration::from_millis(1_500));
     let mut processes = start(&service);
     let [one, two] = processes.entries;
     let sent = send_until_it_runs(&service, one, "order-1");
     processes.kill(Role::Entry(0));
-    assert_eq!(sent.join().expect("thread"), None, "the entry has gone");
-    // The sidecar kept the answer, and the next entry to hear of the key asks it.
-    let answer = order(&once("order-1"), "order-1").send(two);
+    assert_eq!(
+        sent.join().expect("thread"),
+        None,
+        "the killed entry must not answer"
+    );
+    // The sidecar retains the answer; the other entry asks it for the key.
+    let answer = order(&at_most_once("order-1"), "order-1").send(two);
     assert_eq!(answer, (200, "order-1 run 1".to_owned()));
     processes.run(Role::Entry(0));
-    wait_for("the entry is back", || {
-        let again = order(&once("order-1"), "order-1").try_send(one);
+    wait_for("the restarted entry returns the retained answer", || {
+        let again = order(&at_most_once("order-1"), "order-1").try_send(one);
         again.is_some_and(|again| again == answer)
     });
     assert_eq!(service.runs("order-1"), 1);
@@ -80,40 +84,40 @@
     let (_, text) = sent.join().expect("thread").expect("answer");
     assert_eq!(kind(&text), "outcome_unknown", "{text}");
     processes.run(Role::Sidecar);
-    wait_for("the new sidecar serves", || {
+    wait_for("the restarted sidecar serves", || {
         order(&[], "fresh").send(two).0 == 200
     });
     for entry in processes.entries {
-        let (_, text) = order(&once("order-2"), "order-2").send(entry);
+        let (_, text) = order(&at_most_once("order-2"), "order-2").send(entry);
         assert_eq!(kind(&text), "outcome_unknown", "{text}");
     }
     assert_eq!(service.runs("order-2"), 1);
 }
 
 #[test]
-fn a_killed_ledger_host_loses_nothing() {
+fn a_killed_ledger_host_loses_no_order() {
     let service = CountingService::start(Duration::from_millis(800));
     let mut processes = start(&service);
     let [one, two] = processes.entries;
-    // Whichever host leads, one of the two kills meets it.
+    // Kills two of the three hosts in turn, so that a leader among them is hit.
     for (slot, key) in [(0, "order-5"), (1, "order-6")] {
         let sent = send_until_it_runs(&service, one, key);
         processes.kill(Role::Ledger(slot));
         let answer = (200, format!("{key} run 1"));
         assert_eq!(sent.join().expect("thread"), Some(answer.clone()));
-        assert_eq!(order(&once(key), key).send(two), answer);
+        assert_eq!(order(&at_most_once(key), key).send(two), answer);
         processes.run(Role::Ledger(slot));
         assert_eq!(service.runs(key), 1);
     }
 }
 
 #[test]
-fn without_a_ledger_nothing_runs() {
+fn without_a_ledger_no_order_runs() {
     const LEDGERS: [Role; 3] = [Role::Ledger(0), Role::Ledger(1), Role::Ledger(2)];
     let service = CountingService::start(Duration::from_millis(300));
     let mut processes = start(&service);
     let [one, two] = processes.entries;
-    let before = order(&once("order-2"), "order-2").send(one);
+    let before = order(&at_most_once("order-2"), "order-2").send(one);
     let sent = send_until_it_runs(&service, one, "order-3");
     for role in LEDGERS {
         processes.kill(role);
@@ -126,8 +130,9 @@
     );
     assert!(text.contains(r#""not_run":true"#), "{text}");
     assert_eq!(service.runs("order-4"), 0);
-    // An earlier send of this key may have run, so nobody says that it did not.
-    let (_, text) = order(&once("order-3"), "order-3").send(two);
+    // An earlier request with this key may have run, so the error must not state
+    // that it did not.
+    let (_, text) = order(&at_most_once("order-3"), "order-3").send(two);
     assert_eq!(kind(&text), "ledger_unreachable", "{text}");
     let (_, text) = sent.join().expect("thread").expect("answer");
     assert_eq!(kind(&text), "outcome_unknown", "{text}");
@@ -136,13 +141,14 @@
         processes.run(role);
     }
     let mut after = None;
-    wait_for("the ledger is back", || {
-        after = order(&once("order-3"), "order-3").try_send(two);
+    wait_for("the restarted ledger answers", || {
+        after = order(&at_most_once("order-3"), "order-3").try_send(two);
         after.as_ref().is_some_and(|(status, _)| *status != 503)
     });
-    // The permit outlived the ledger's hosts, and the sidecar kept the answer.
+    // The permit survived on the ledger hosts' disks, and the sidecar retained
+    // the answer.
     assert_eq!(after, Some((200, "order-3 run 1".to_owned())));
-    assert_eq!(order(&once("order-2"), "order-2").send(two), before);
+    assert_eq!(order(&at_most_once("order-2"), "order-2").send(two), before);
     assert_eq!((service.runs("order-2"), service.runs("order-3")), (1, 1));
     assert_eq!(service.runs("order-4"), 0);
 }
@@ -158,7 +164,7 @@
             let service = service.clone();
             thread::spawn(move || {
                 thread::sleep(Duration::from_millis(100 * number as u64));
-                place(&service, entries, number)
+                place_order(&service, entries, number)
             })
         })
         .collect();
@@ -174,7 +180,7 @@
         processes.kill(role);
         processes.run(role);
     }
-    let mut whole = 0;
+    let mut answered = 0;
     for (number, caller) in callers.into_iter().enumerate() {
         let (status, text) = caller.join().expect("caller");
         let body = format!("order {number}");
@@ -182,26 +188,30 @@
         assert!(runs <= 1, "{body} ran {runs} times");
         if status == 200 {
             assert_eq!((runs, &*text), (1, &*format!("{body} run 1")));
-            whole += 1;
+            answered += 1;
         } else {
             assert_eq!(kind(&text), "outcome_unknown", "{text}");
         }
     }
-    println!("orders answered whole: {whole} of {ORDERS}");
+    println!("orders answered whole: {answered} of {ORDERS}");
     assert!(
-        whole > ORDERS / 2,
-        "{whole} of {ORDERS} orders were answered"
+        answered > ORDERS / 2,
+        "only {answered} of {ORDERS} orders were answered"
     );
 }
 
-/// Places an order as a careful caller does: again with the same key while the
-/// entry dies or says that a resend is worthwhile.
-fn place(service: &CountingService, entries: [SocketAddr; 2], number: usize) -> (u16, String) {
+/// Sends an order and retries it with the same key, alternating between the
+/// entries, while the connection fails or the status is 503.
+fn place_order(
+    service: &CountingService,
+    entries: [SocketAddr; 2],
+    number: usize,
+) -> (u16, String) {
     let body = format!("order {number}");
-    let headers = once(&body);
+    let headers = at_most_once(&body);
     let mut sends = number;
     let mut answer = None;
-    wait_for("a last answer", || {
+    wait_for("the order gets a final answer", || {
         sends += 1;
         let Some((status, text)) = order(&headers, &body).try_send(entries[sends % 2]) else {
             return false;
--- a/crates/sapphirequayd/tests/processes.rs
+++ b/crates/sapphirequayd/tests/processes.rs
@@ -1,4 +1,4 @@
-//! Processes that end on a signal, each started from its settings file.
+//! Tests of processes that shut down on a signal.
 
 mod common;
 
@@ -17,11 +17,11 @@
     tempfile::TempDir,
 };
 
-/// A process that is killed if a test fails.
+/// A process that is killed on drop, also when the test fails.
 struct Process(Child);
 
 impl Process {
-    /// Starts the daemon with a settings file that is written first.
+    /// Writes the settings file and starts the daemon with it.
     fn start(dir: &Path, name: &str, settings: &str) -> Self {
         let file = dir.join(format!("{name}.toml"));
         let log = dir.join(format!("{name}.log"));
@@ -45,10 +45,10 @@
         assert!(sent.expect("kill").success());
     }
 
-    /// Waits for the end.
-    fn end(&mut self) -> ExitStatus {
+    /// Waits until the process exits.
+    fn wait_for_exit(&mut self) -> ExitStatus {
         let mut status = None;
-        wait_for("the process ends", || {
+        wait_for("the process exits", || {
             status = self.0.try_wait().expect("wait");
             status.is_some()
         });
@@ -63,7 +63,7 @@
     }
 }
 
-/// Every role as a process before one engine.
+/// One process per role, and the engine behind the sidecar.
 struct Processes {
     dir: TempDir,
     entry: Process,
@@ -73,8 +73,8 @@
     engine: Engine,
 }
 
-/// An engine whose answers last about two seconds.
-fn slow() -> EngineSettings {
+/// Settings of an engine whose answers take about two seconds.
+fn slow_engine_settings() -> EngineSettings {
     EngineSettings {
         token_gap: Duration::from_millis(20),
         answer_tokens: 100,
@@ -87,7 +87,7 @@
     let keys = dir.path().join("keys");
     let made = DevelopmentKeys::generate().expect("keys");
     made.write(&keys, &["operator"]).expect("key files");
-    let engine = engine(slow());
+    let engine = engine(slow_engine_settings());
     let (ledger, sidecar, callers) = (free_port(), free_port(), free_port());
     let link = |listen: SocketAddr| {
         let keys = keys.display();
@@ -125,7 +125,7 @@
 }
 
 impl Drop for Processes {
-    /// Prints what the processes wrote, for the report of a failure.
+    /// Prints the logs of the processes if the test failed.
     fn drop(&mut self) {
         if thread::panicking() {
             for name in ["ledger-1", "sidecar-1", "entry-1"] {
@@ -136,11 +136,13 @@
 }
 
 impl Processes {
-    /// A streamed call that is in progress when this returns.
+    /// Starts a streamed call and waits until the engine runs it.
     fn begin_call(&self) -> thread::JoinHandle<(u16, String)> {
         let addr = self.callers;
         let caller = thread::spawn(move || post(addr, KEY, &completion(true)));
-        wait_for("the call runs", || self.engine.counts().running == 1);
+        wait_for("the engine runs the call", || {
+            self.engine.counts().running == 1
+        });
         caller
     }
 
@@ -149,14 +151,14 @@
     }
 }
 
-/// Whether the text is the engine's whole answer.
-fn is_whole(text: &str) -> bool {
+/// Whether the event stream holds the engine's complete answer.
+fn is_complete(text: &str) -> bool {
     let words: Vec<_> = (0..100).map(|number| format!("word{number} ")).collect();
     streamed_text(text) == words.concat() && text.ends_with("data: [DONE]\n\n")
 }
 
 #[test]
-fn an_entry_finishes_its_calls_before_it_ends() {
+fn an_entry_finishes_its_calls_before_it_exits() {
     let mut processes = start();
     let caller = processes.begin_call();
     processes.entry.terminate();
@@ -168,8 +170,8 @@
     assert!(text.contains(r#""kind":"draining""#), "{text}");
     let (status, text) = caller.join().expect("caller");
     assert_eq!(status, 200);
-    assert!(is_whole(&text), "{text}");
-    assert_eq!(processes.entry.end().code(), Some(0));
+    assert!(is_complete(&text), "{text}");
+    assert_eq!(processes.entry.wait_for_exit().code(), Some(0));
     let log = processes.log("entry-1");
     assert!(log.contains("event=shutdown_began in_progress=1"), "{log}");
     assert!(log.contains("event=shutdown_ended"), "{log}");
@@ -180,19 +182,19 @@
     let mut processes = start();
     let caller = processes.begin_call();
     processes.sidecar.terminate();
-    // A call before that is an ordinary one.
+    // A call before the shutdown begins would still be accepted.
     wait_for("the shutdown begins", || {
         processes.log("sidecar-1").contains("event=shutdown_began")
     });
-    wait_for("new calls are not run", || {
+    wait_for("new calls are refused", || {
         let (status, text) = common::post_once(processes.callers, KEY, &completion(true));
         assert!(text.contains(r#""not_run":true"#), "{text}");
         status == 503
     });
     let (status, text) = caller.join().expect("caller");
     assert_eq!(status, 200);
-    assert!(is_whole(&text), "{text}");
-    assert_eq!(processes.sidecar.end().code(), Some(0));
+    assert!(is_complete(&text), "{text}");
+    assert_eq!(processes.sidecar.wait_for_exit().code(), Some(0));
 }
 
 #[test]
@@ -204,7 +206,7 @@
         processes.log("entry-1").contains("event=shutdown_began")
     });
     processes.entry.terminate();
-    assert_eq!(processes.entry.end().code(), Some(3));
+    assert_eq!(processes.entry.wait_for_exit().code(), Some(3));
     let log = processes.log("entry-1");
     assert!(log.contains("event=shutdown_cut in_progress=1"), "{log}");
 }
