--- a/crates/sapphirequayd/src/connection/body.rs
+++ b/crates/sapphirequayd/src/connection/body.rs
@@ -6,7 +6,7 @@
 //! process. Such requests are never dropped.
 
 use {
-    crate::connection::answer::{error_json, write_error, write_last_error},
+    crate::connection::response::{error_json, write_error, write_last_error},
     quay_types::{Error, ErrorKind, Result},
     std::{
         io, mem,
--- a/crates/sapphirequayd/src/connection/edge.rs
+++ b/crates/sapphirequayd/src/connection/entry_server.rs
@@ -3,16 +3,16 @@
 use {
     crate::{
         connection::{
-            answer::{AnswerHead, BodyAnswer, EventAnswer, WholeAnswer, write_body, write_json},
             body::{read_body, refuse},
             listener,
             programs::{self, CallContent, CallHeaders, serve_programs},
+            response::{AnswerHead, BodyAnswer, EventAnswer, WholeAnswer, write_body, write_json},
             route::Route,
         },
         process::{Clock, Lifecycle, telemetry},
         request::{CallContext, CompletionRequest, run_call},
         settings::EntrySettings,
-        version::Current,
+        version::CurrentRules,
     },
     quay_types::{AccountId, CallTarget, Error, ErrorKind, Result, ServiceId},
     serde_json::json,
@@ -42,7 +42,7 @@
     /// What calls share.
     pub calls: CallContext,
     /// Rules in force.
-    pub rules: Current,
+    pub rules: CurrentRules,
     /// Whether new requests are taken.
     pub lifecycle: Lifecycle,
     /// Limits of the callers' interface.
@@ -51,11 +51,11 @@
 
 /// The listener for callers.
 #[derive(Debug)]
-pub struct Edge {
+pub struct EntryServer {
     local: SocketAddr,
 }
 
-impl Edge {
+impl EntryServer {
     /// Starts to serve callers on the address of the settings.
     ///
     /// # Errors
@@ -206,7 +206,7 @@
 /// Checks the key and reads the body.
 fn admit(cx: &EntryContext, req: &mut Request) -> Result<(AccountId, Vec<u8>)> {
     let key = header(req, "Authorization").and_then(|value| value.strip_prefix("Bearer "));
-    let account = cx.rules.get().account(key.unwrap_or_default())?;
+    let account = cx.rules.get().authenticate(key.unwrap_or_default())?;
     let patience = cx.settings.read_timeout() * BODY_TIMEOUTS;
     let body = read_body(req, cx.settings.max_body_bytes, patience)?;
     Ok((account, body))
@@ -235,7 +235,7 @@
         Err(err) => return refuse(req, number, &err).map(|()| Err(err)),
     };
     let rules = cx.rules.get();
-    if let Err(err) = rules.may_call(account, &completion.model) {
+    if let Err(err) = rules.check_model_access(account, &completion.model) {
         return refuse(req, number, &err).map(|()| Err(err));
     }
     let (model, stream) = (completion.model.clone(), completion.stream);
@@ -251,7 +251,7 @@
         body: completion.into_upstream_body(),
     };
     let order = programs::order(account, &headers, content, rules.index());
-    if let Err(err) = rules.runs(order.digest, Clock::wall_ms()) {
+    if let Err(err) = rules.check_quarantine(order.digest, Clock::wall_ms()) {
         return refuse(req, number, &err).map(|()| Err(err));
     }
     let out = req.into_writer();
@@ -297,14 +297,14 @@
     let name: Box<str> = Route::service(req.url()).into();
     let headers = match CallHeaders::of(&req) {
         Ok(headers) => CallHeaders {
-            idempotent: headers.idempotent && rules.repeatable(ServiceId::of(&name)),
+            idempotent: headers.idempotent && rules.is_repeatable(ServiceId::of(&name)),
             ..headers
         },
         Err(err) => return refuse(req, number, &err).map(|()| Err(err)),
     };
     let content = CallContent::service(&name, body);
     let order = programs::order(account, &headers, content, rules.index());
-    if let Err(err) = rules.runs(order.digest, Clock::wall_ms()) {
+    if let Err(err) = rules.check_quarantine(order.digest, Clock::wall_ms()) {
         return refuse(req, number, &err).map(|()| Err(err));
     }
     let mut answer = BodyAnswer::new(req.into_writer(), number);
--- a/crates/sapphirequayd/src/connection/mod.rs
+++ b/crates/sapphirequayd/src/connection/mod.rs
@@ -1,18 +1,18 @@
 //! What lives for one connection: callers' HTTP and the upstream's.
 
-mod answer;
 mod body;
-mod edge;
 mod engine;
+mod entry_server;
 mod listener;
-mod monitor;
+mod monitor_server;
 mod programs;
+mod response;
 mod route;
 mod service;
 
 pub use {
-    edge::{Edge, EntryContext},
     engine::{EngineClient, EngineStream, StreamId},
-    monitor::Monitor,
+    entry_server::{EntryContext, EntryServer},
+    monitor_server::MonitorServer,
     service::ServiceClient,
 };
--- a/crates/sapphirequayd/src/connection/monitor.rs
+++ b/crates/sapphirequayd/src/connection/monitor_server.rs
@@ -12,11 +12,11 @@
 
 /// The listener for whoever watches the process.
 #[derive(Debug)]
-pub struct Monitor {
+pub struct MonitorServer {
     local: SocketAddr,
 }
 
-impl Monitor {
+impl MonitorServer {
     /// Starts to answer on `listen`.
     ///
     /// # Errors
--- a/crates/sapphirequayd/src/connection/programs.rs
+++ b/crates/sapphirequayd/src/connection/programs.rs
@@ -1,7 +1,7 @@
 //! Callers' headers of a call, and `/v1/programs`.
 
 use {
-    crate::{connection::edge::EntryContext, request::CallSpec},
+    crate::{connection::entry_server::EntryContext, request::CallSpec},
     quay_types::{
         AccountId, CallNumber, CallRequest, CallTarget, ConfigIndex, ContentDigest, Error,
         ErrorKind, Incarnation, LedgerReply, LedgerRequest, NewProgram, Outcome, ProgramId,
@@ -293,7 +293,7 @@
         key,
         program: parent.unwrap_or_else(|| program_of(key)),
         sub_agent: parent.is_some(),
-        limits: limits(&body, &cx.rules.get().limits(account))?,
+        limits: limits(&body, &cx.rules.get().program_limits(account))?,
     };
     let program = new.program;
     match ask(cx, program, &LedgerRequest::Create(new), key_named)? {
--- a/crates/sapphirequayd/src/gateway/run.rs
+++ b/crates/sapphirequayd/src/gateway/run.rs
@@ -9,11 +9,11 @@
         store::{StoreClient, StoreHost},
     },
     crate::{
-        connection::Monitor,
+        connection::MonitorServer,
         process::{Clock, GroupHost, GroupStartError, Lifecycle, telemetry},
         settings::{
-            ControlSettings, FrontSettings, LedgerSettings, PeerSettings, SeedSettings, Settings,
-            StoreSettings,
+            ControlSettings, FrontSettings, GatewaySettings, LedgerSettings, PeerSettings,
+            Settings, StoreSettings,
         },
         wire::LinkRequest,
     },
@@ -96,7 +96,7 @@
     // Metrics are recorded only if there is an address to read them from.
     if let Some(listen) = settings.process.monitor {
         telemetry::start();
-        Monitor::start(listen, lifecycle.clone()).map_err(io("metrics address"))?;
+        MonitorServer::start(listen, lifecycle.clone()).map_err(io("metrics address"))?;
     }
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -227,7 +227,7 @@
 fn start_control<D: Dialect>(
     settings: &Settings,
     control: &ControlSettings,
-    seeds: &SeedSettings,
+    seeds: &GatewaySettings,
     mut base: HostContext,
     dialect: D,
 ) -> Result<(), GatewayError> {
@@ -271,7 +271,7 @@
 fn group_settings(
     settings: &Settings,
     control: &ControlSettings,
-    seeds: &SeedSettings,
+    seeds: &GatewaySettings,
 ) -> LedgerSettings {
     let mut addrs = seeds.links();
     addrs.sort_unstable();
@@ -319,7 +319,7 @@
 fn start_store(
     settings: &Settings,
     store: &StoreSettings,
-    seeds: &SeedSettings,
+    seeds: &GatewaySettings,
     mut base: HostContext,
 ) -> Result<(), GatewayError> {
     let announcement = StoreAnnouncement {
--- a/crates/sapphirequayd/src/lib.rs
+++ b/crates/sapphirequayd/src/lib.rs
@@ -39,9 +39,9 @@
         UpstreamEvent, Usage,
     },
     settings::{
-        ControlSettings, DEFAULT_SETTINGS, EntrySettings, FrontSettings, KvTable, LedgerSettings,
-        LinkTableSettings, LogLevel, LogSettings, PeerSettings, PolicyTable, Problem,
-        ProcessSettings, SeedSettings, Settings, SettingsError, SidecarSettings, StoreSettings,
+        ControlSettings, DEFAULT_SETTINGS, EntrySettings, FrontSettings, GatewaySettings, KvTable,
+        LedgerSettings, LinkTableSettings, LogLevel, LogSettings, PeerSettings, PolicyTable,
+        Problem, ProcessSettings, Settings, SettingsError, SidecarSettings, StoreSettings,
     },
     wire::LinkRequest,
 };
--- a/crates/sapphirequayd/src/process/control_role.rs
+++ b/crates/sapphirequayd/src/process/control_role.rs
@@ -11,7 +11,7 @@
             spawn,
         },
         settings::{LedgerSettings, Settings},
-        version::{Current, Rules},
+        version::{CurrentRules, Rules},
     },
     quay_config::{ConfigStore, Document, check},
     quay_link::{KeyFiles, Links},
@@ -37,7 +37,7 @@
     clock: Clock,
 ) -> Result<(Mailbox<DirectoryMsg>, ControlService), StartError> {
     let first = settings
-        .first_document()
+        .initial_document()
         .map_err(starting("[ledger] document"))?;
     if let Some(text) = &first {
         let checked = Document::parse(text).map_err(|error| vec![error]);
@@ -64,10 +64,10 @@
     let control = roles.control.clone();
     move |rules| {
         if let (Some(upstream), Some(gate)) = (&upstream, &gate) {
-            gate.send(GateMsg::Drain(rules.drained(upstream)));
+            gate.send(GateMsg::Drain(rules.is_drained(upstream)));
         }
         if let Some(directory) = &directory {
-            directory.send(DirectoryMsg::Drained(rules.all_drained().collect()));
+            directory.send(DirectoryMsg::Drained(rules.drained_upstreams().collect()));
         }
         if let (Some(control), Some(config)) = (&control, rules.config()) {
             control.observe_config(rules.index(), config.grace);
@@ -79,7 +79,7 @@
 pub fn subscribe(
     settings: &Settings,
     links: &Links,
-    current: &Current,
+    current: &CurrentRules,
     changed: impl Fn(&Rules) + Send + 'static,
 ) -> Result<(), StartError> {
     let mut hosts = settings.link.ledgers.clone();
--- a/crates/sapphirequayd/src/process/daemon.rs
+++ b/crates/sapphirequayd/src/process/daemon.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        connection::{Edge, EngineClient, EntryContext, Monitor, ServiceClient},
+        connection::{EngineClient, EntryContext, EntryServer, MonitorServer, ServiceClient},
         process::{
             Clock, ControlRequest, ControlService, Gate, GroupHost, GroupStartError,
             KvCacheManager, KvMsg, LedgerClient, LedgerService, Lifecycle, Mailbox, PermitMsg,
@@ -14,7 +14,7 @@
         },
         request::{AttemptContext, CallContext, answer_permit_query, serve_attempt},
         settings::{EntrySettings, Settings, SidecarSettings},
-        version::Current,
+        version::CurrentRules,
         wire::LinkRequest,
     },
     quay_config::ConfigError,
@@ -86,11 +86,11 @@
 /// A running process.
 #[derive(Debug)]
 pub struct Daemon {
-    edge: Option<Edge>,
-    monitor: Option<Monitor>,
+    entry_server: Option<EntryServer>,
+    monitor: Option<MonitorServer>,
     links: Links,
     lifecycle: Lifecycle,
-    current: Current,
+    current: CurrentRules,
     /// Whether the process has the sidecar role and announces an upstream.
     announces: bool,
 }
@@ -140,11 +140,11 @@
         if let Some(sidecar) = &settings.sidecar {
             started.sidecar = Some(start_sidecar(settings, sidecar, &links, clock, &lifecycle)?);
         }
-        let current = Current::default();
+        let current = CurrentRules::default();
         let changed = config_change_handler(settings, &started);
         let _ = roles.set(started);
         subscribe(settings, &links, &current, changed)?;
-        let edge = match &settings.entry {
+        let entry_server = match &settings.entry {
             Some(entry) => Some(start_entry(
                 settings,
                 entry,
@@ -157,13 +157,13 @@
         };
         let monitor = match settings.process.monitor {
             Some(addr) => {
-                let monitor = Monitor::start(addr, lifecycle.clone());
+                let monitor = MonitorServer::start(addr, lifecycle.clone());
                 Some(monitor.map_err(starting(&format!("[process] monitor {addr}")))?)
             }
             None => None,
         };
         Ok(Self {
-            edge,
+            entry_server,
             monitor,
             links,
             lifecycle,
@@ -175,7 +175,7 @@
     /// Listen address for client requests, if the entry role runs.
     #[must_use]
     pub fn callers_addr(&self) -> Option<SocketAddr> {
-        self.edge.as_ref().map(Edge::local_addr)
+        self.entry_server.as_ref().map(EntryServer::local_addr)
     }
 
     /// Waits for two heartbeats, so that entries can learn that the upstream of
@@ -215,7 +215,7 @@
     /// Listen address of `/metrics` and `/healthz`, if configured.
     #[must_use]
     pub fn monitor_addr(&self) -> Option<SocketAddr> {
-        self.monitor.as_ref().map(Monitor::local_addr)
+        self.monitor.as_ref().map(MonitorServer::local_addr)
     }
 
     /// Listen address for links from other processes.
@@ -231,9 +231,9 @@
     entry: &EntrySettings,
     links: &Links,
     clock: Clock,
-    rules: Current,
+    rules: CurrentRules,
     lifecycle: &Lifecycle,
-) -> Result<Edge, StartError> {
+) -> Result<EntryServer, StartError> {
     let router = spawn("router", clock, router(settings)).map_err(starting("router"))?;
     let reader = DirectoryReader {
         name: settings.process.name.clone(),
@@ -257,7 +257,7 @@
         lifecycle: lifecycle.clone(),
         settings: entry.clone(),
     };
-    Edge::start(cx).map_err(starting(&format!("[entry] listen {}", entry.listen)))
+    EntryServer::start(cx).map_err(starting(&format!("[entry] listen {}", entry.listen)))
 }
 
 /// Creates a router with the policy settings.
--- a/crates/sapphirequayd/src/process/subscription.rs
+++ b/crates/sapphirequayd/src/process/subscription.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         process::{ControlClient, ControlReply, ControlRequest},
-        version::{Current, Rules},
+        version::{CurrentRules, Rules},
     },
     quay_config::{Subscriber, SubscriberEvent},
     quay_members::Pacer,
@@ -22,7 +22,7 @@
     /// Client of the control group.
     pub client: ControlClient,
     /// Holder of the rules in force, which each new version replaces.
-    pub current: Current,
+    pub current: CurrentRules,
 }
 
 impl Subscription {
@@ -95,7 +95,7 @@
 
     /// Puts the configuration of the subscriber into force in this process.
     fn publish(&self, subscriber: &Subscriber) -> Arc<Rules> {
-        let rules = Arc::new(Rules::of(subscriber));
+        let rules = Arc::new(Rules::from_subscriber(subscriber));
         self.current.set(Arc::clone(&rules));
         rules
     }
--- a/crates/sapphirequayd/src/settings/check.rs
+++ b/crates/sapphirequayd/src/settings/check.rs
@@ -124,7 +124,7 @@
     fn check_ledger(&self, problems: &mut Vec<Problem>) {
         let Some(ledger) = &self.ledger else { return };
         problems.extend(ledger.check().err());
-        if let Err(err) = ledger.first_document() {
+        if let Err(err) = ledger.initial_document() {
             problems.push(Problem::new("ledger", "document", err.to_string()));
         }
     }
--- a/crates/sapphirequayd/src/settings/gateway.rs
+++ b/crates/sapphirequayd/src/settings/gateway.rs
@@ -9,7 +9,7 @@
 /// What every role of a gateway needs to find the others.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct SeedSettings {
+pub struct GatewaySettings {
     /// Some control hosts.
     pub seeds: Vec<SocketAddr>,
     /// Port of the links of all control hosts; 0 if `seeds` name it.
@@ -20,7 +20,7 @@
     pub losses: usize,
 }
 
-impl Default for SeedSettings {
+impl Default for GatewaySettings {
     fn default() -> Self {
         Self {
             seeds: Vec::new(),
@@ -31,7 +31,7 @@
     }
 }
 
-impl SeedSettings {
+impl GatewaySettings {
     /// Link addresses of the seeds.
     #[must_use]
     pub fn links(&self) -> Vec<SocketAddr> {
--- a/crates/sapphirequayd/src/settings/ledger.rs
+++ b/crates/sapphirequayd/src/settings/ledger.rs
@@ -95,7 +95,7 @@
     /// # Errors
     ///
     /// Fails if the file can't be read.
-    pub fn first_document(&self) -> io::Result<Option<Box<str>>> {
+    pub fn initial_document(&self) -> io::Result<Option<Box<str>>> {
         match (&self.document_text, &self.document) {
             (Some(text), _) => Ok(Some(text.clone())),
             (None, Some(path)) => Ok(Some(fs::read_to_string(path)?.into())),
--- a/crates/sapphirequayd/src/settings/mod.rs
+++ b/crates/sapphirequayd/src/settings/mod.rs
@@ -13,7 +13,7 @@
 
 pub use {
     entry::EntrySettings,
-    gateway::{ControlSettings, FrontSettings, SeedSettings, StoreSettings},
+    gateway::{ControlSettings, FrontSettings, GatewaySettings, StoreSettings},
     ledger::{LedgerSettings, PeerSettings},
     link::LinkTableSettings,
     log::{LogLevel, LogSettings},
@@ -50,7 +50,7 @@
     /// The ledger role.
     pub ledger: Option<LedgerSettings>,
     /// How the roles of a gateway find each other.
-    pub gateway: Option<SeedSettings>,
+    pub gateway: Option<GatewaySettings>,
     /// The front role of a gateway.
     pub front: Option<FrontSettings>,
     /// The control role of a gateway.
--- a/crates/sapphirequayd/src/version/current.rs
+++ b/crates/sapphirequayd/src/version/current_rules.rs
@@ -7,9 +7,9 @@
 
 /// Holds the rules in force; a request keeps the ones that it began with.
 #[derive(Debug, Clone, Default)]
-pub struct Current(Arc<RwLock<Arc<Rules>>>);
+pub struct CurrentRules(Arc<RwLock<Arc<Rules>>>);
 
-impl Current {
+impl CurrentRules {
     /// Puts other rules into force for requests that begin from now on.
     pub fn set(&self, rules: Arc<Rules>) {
         *self.0.write().unwrap_or_else(PoisonError::into_inner) = rules;
--- a/crates/sapphirequayd/src/version/mod.rs
+++ b/crates/sapphirequayd/src/version/mod.rs
@@ -1,6 +1,6 @@
 //! What lives for one version of the configuration.
 
-mod current;
+mod current_rules;
 mod rules;
 
-pub use {current::Current, rules::Rules};
+pub use {current_rules::CurrentRules, rules::Rules};
--- a/crates/sapphirequayd/src/version/rules.rs
+++ b/crates/sapphirequayd/src/version/rules.rs
@@ -20,23 +20,23 @@
     /// Sections and marks.
     image: Image,
     /// Why nothing newer is in force; empty while all is well.
-    waits: Box<str>,
+    blocked_reason: Box<str>,
 }
 
 impl Default for Rules {
     fn default() -> Self {
-        Self::of(&Subscriber::default())
+        Self::from_subscriber(&Subscriber::default())
     }
 }
 
 impl Rules {
     /// The rules that a subscriber holds.
     #[must_use]
-    pub fn of(subscriber: &Subscriber) -> Self {
+    pub fn from_subscriber(subscriber: &Subscriber) -> Self {
         Self {
             config: subscriber.config().cloned(),
             image: subscriber.image().clone(),
-            waits: subscriber.blocked_reason().into(),
+            blocked_reason: subscriber.blocked_reason().into(),
         }
     }
 
@@ -58,9 +58,12 @@
     ///
     /// [`ErrorKind::Unauthorized`] if no account has the key;
     /// [`ErrorKind::ConfigStale`] before the first document, with the reason.
-    pub fn account(&self, key: &str) -> Result<AccountId> {
+    pub fn authenticate(&self, key: &str) -> Result<AccountId> {
         let Some(config) = &self.config else {
-            let message = format!("no configuration is in force here yet: {}", self.waits);
+            let message = format!(
+                "no configuration is in force here yet: {}",
+                self.blocked_reason
+            );
             return Err(Error::new(ErrorKind::ConfigStale, message));
         };
         config.account_of(key).ok_or_else(|| {
@@ -77,7 +80,7 @@
     ///
     /// [`ErrorKind::UnknownModel`] if the document has no such model,
     /// [`ErrorKind::Forbidden`] if the account is bound to others.
-    pub fn may_call(&self, account: AccountId, model: &str) -> Result<()> {
+    pub fn check_model_access(&self, account: AccountId, model: &str) -> Result<()> {
         let id = ModelId::of(model);
         let Some(config) = &self.config else {
             return Ok(());
@@ -96,7 +99,7 @@
 
     /// Most that a program of an account may ask for.
     #[must_use]
-    pub fn limits(&self, account: AccountId) -> ProgramLimits {
+    pub fn program_limits(&self, account: AccountId) -> ProgramLimits {
         let config = self.config.as_ref();
         let account = config.and_then(|config| config.accounts.get(&account));
         account.map_or_else(ProgramLimits::default, |account| account.limits)
@@ -104,19 +107,19 @@
 
     /// Whether an operator has marked an upstream to leave.
     #[must_use]
-    pub fn drained(&self, upstream: &str) -> bool {
+    pub fn is_drained(&self, upstream: &str) -> bool {
         self.image.drained.contains_key(upstream)
     }
 
     /// Upstreams that are marked to leave.
-    pub fn all_drained(&self) -> impl Iterator<Item = UpstreamId> {
+    pub fn drained_upstreams(&self) -> impl Iterator<Item = UpstreamId> {
         self.image.drained.keys().map(|name| UpstreamId::of(name))
     }
 
     /// Whether requests to a service may be repeated, for all that the
     /// document says of it.
     #[must_use]
-    pub fn repeatable(&self, service: ServiceId) -> bool {
+    pub fn is_repeatable(&self, service: ServiceId) -> bool {
         let config = self.config.as_ref();
         let service = config.and_then(|config| config.services.get(&service));
         service.is_none_or(|service| service.repeatable(ANY_PATH))
@@ -127,7 +130,7 @@
     /// # Errors
     ///
     /// [`ErrorKind::Quarantined`] until its mark lapses or is cleared.
-    pub fn runs(&self, digest: ContentDigest, now_ms: u64) -> Result<()> {
+    pub fn check_quarantine(&self, digest: ContentDigest, now_ms: u64) -> Result<()> {
         let until_ms = self
             .image
             .quarantined
