--- a/crates/quay_link/src/keys.rs
+++ b/crates/quay_link/src/keys.rs
@@ -28,7 +28,7 @@
 impl KeyFiles {
     /// The files that `sapphirequay keys init` writes for `role`.
     #[must_use]
-    pub fn in_folder(dir: &Path, role: LinkRole) -> Self {
+    pub fn for_role(dir: &Path, role: LinkRole) -> Self {
         Self {
             root: dir.join("root.pem"),
             cert: dir.join(format!("{role}.pem")),
@@ -59,7 +59,7 @@
 
     /// The files that `sapphirequay keys init` writes for an operator.
     #[must_use]
-    pub fn of_operator(dir: &Path, name: &str) -> Self {
+    pub fn for_operator(dir: &Path, name: &str) -> Self {
         Self {
             root: dir.join("root.pem"),
             cert: dir.join(format!("operator-{name}.pem")),
@@ -178,10 +178,10 @@
         fs::create_dir_all(dir)?;
         write_new(&dir.join("root.pem"), &self.root_pem)?;
         for role in LinkRole::ALL {
-            self.write_pair(&KeyFiles::in_folder(dir, role), role, role.name())?;
+            self.write_pair(&KeyFiles::for_role(dir, role), role, role.name())?;
         }
         for name in operators.iter().map(AsRef::as_ref) {
-            self.write_pair(&KeyFiles::of_operator(dir, name), LinkRole::Operator, name)?;
+            self.write_pair(&KeyFiles::for_operator(dir, name), LinkRole::Operator, name)?;
         }
         Ok(())
     }
--- a/crates/quay_link/src/links.rs
+++ b/crates/quay_link/src/links.rs
@@ -168,7 +168,7 @@
     /// # Errors
     ///
     /// As [`Links::open`].
-    pub async fn open_from_task(
+    pub async fn open_async(
         &self,
         addr: SocketAddr,
         role: LinkRole,
--- a/crates/quay_link/src/stream.rs
+++ b/crates/quay_link/src/stream.rs
@@ -26,7 +26,7 @@
     /// [`LinkError::TooLarge`] before anything is sent; [`LinkError::Broken`]
     /// if the stream has ended.
     pub fn send(&self, value: &impl Serialize) -> Result<(), LinkError> {
-        self.send_counted(value).map(drop)
+        self.send_returning_size(value).map(drop)
     }
 
     /// Sends one value as [`LinkStream::send`] does and tells the bytes of its
@@ -35,7 +35,7 @@
     /// # Errors
     ///
     /// As [`LinkStream::send`].
-    pub fn send_counted(&self, value: &impl Serialize) -> Result<usize, LinkError> {
+    pub fn send_returning_size(&self, value: &impl Serialize) -> Result<usize, LinkError> {
         let buf = frame::encode(value)?;
         let bytes = buf.len();
         self.tx
@@ -49,7 +49,7 @@
     /// # Errors
     ///
     /// As [`LinkStream::send`].
-    pub async fn send_from_task(&self, value: &impl Serialize) -> Result<(), LinkError> {
+    pub async fn send_async(&self, value: &impl Serialize) -> Result<(), LinkError> {
         let buf = frame::encode(value)?;
         let sent = self.tx.send(buf).await;
         sent.map_err(|_| LinkError::Broken("stream ended".into()))
@@ -60,7 +60,7 @@
     /// # Errors
     ///
     /// As [`LinkStream::recv`].
-    pub async fn recv_in_task<T: DeserializeOwned>(&mut self) -> Result<T, LinkError> {
+    pub async fn recv_async<T: DeserializeOwned>(&mut self) -> Result<T, LinkError> {
         match self.rx.recv().await {
             Some(frame) => frame?.decode(),
             None => Err(LinkError::Finished),
--- a/crates/quay_link/tests/keys.rs
+++ b/crates/quay_link/tests/keys.rs
@@ -94,7 +94,7 @@
     let both = read(old.join("root.pem")) + &read(new.join("root.pem"));
     std::fs::write(old.join("root.pem"), both).expect("file");
 
-    let files = KeyFiles::in_folder(&old, LinkRole::Ledger);
+    let files = KeyFiles::for_role(&old, LinkRole::Ledger);
     let settings = LinkSettings {
         listen: Some(SocketAddr::from(([127, 0, 0, 1], 0))),
         ..LinkSettings::new(files.load().expect("identity"))
@@ -106,7 +106,9 @@
     let addr = links.local_addr().expect("address");
     // The client's own root has to be known to it, so it trusts the old one.
     std::fs::copy(old.join("root.pem"), new.join("root.pem")).expect("file");
-    let client = KeyFiles::of_operator(&new, "ada").load().expect("identity");
+    let client = KeyFiles::for_operator(&new, "ada")
+        .load()
+        .expect("identity");
     let client = Links::connect_only(client).expect("client");
     let (holder, ..) = ask(&client, addr, "hi").expect("answer");
     assert_eq!(holder.as_deref(), Some("ada"));
--- a/crates/quay_link/tests/unreachable.rs
+++ b/crates/quay_link/tests/unreachable.rs
@@ -57,7 +57,7 @@
     while began.elapsed() < ASKED {
         let links = links.clone();
         askers.push(tokio::spawn(async move {
-            let asked = links.open_from_task(peer, LinkRole::Ledger, &"hi");
+            let asked = links.open_async(peer, LinkRole::Ledger, &"hi");
             timeout(PATIENCE, asked).await.is_ok_and(|it| it.is_ok())
         }));
         sleep(Duration::from_millis(5)).await;
--- a/crates/quay_standin/src/engine/control.rs
+++ b/crates/quay_standin/src/engine/control.rs
@@ -137,7 +137,7 @@
     };
     match driver.ask(|model, now| model.order(now, order)) {
         Ok(()) => (200, json!({})),
-        Err(OrderError::OldFence(fence)) => (409, json!({"fence": fence.0})),
+        Err(OrderError::StaleFence(fence)) => (409, json!({"fence": fence.0})),
     }
 }
 
--- a/crates/quay_standin/src/engine/http.rs
+++ b/crates/quay_standin/src/engine/http.rs
@@ -37,7 +37,7 @@
             req.respond(Response::from_string(body.to_string()))
         }
         (Method::Post, "/stand-in/silence") => {
-            streams.silence();
+            streams.stall_connections();
             req.respond(Response::empty(204))
         }
         (Method::Post, "/stand-in/crash") => {
--- a/crates/quay_standin/src/engine/mod.rs
+++ b/crates/quay_standin/src/engine/mod.rs
@@ -101,8 +101,8 @@
     }
 
     /// Makes every open connection silent for good; new ones work.
-    pub fn silence(&self) {
-        self.streams.silence();
+    pub fn stall_connections(&self) {
+        self.streams.stall_connections();
     }
 
     /// Stops as a crash would: no answer ends, no connection is taken.
--- a/crates/quay_standin/src/engine/stream.rs
+++ b/crates/quay_standin/src/engine/stream.rs
@@ -228,7 +228,7 @@
     }
 
     /// Makes open connections silent.
-    pub fn silence(&self) {
+    pub fn stall_connections(&self) {
         self.silence.fetch_add(1, Ordering::Relaxed);
     }
 
--- a/crates/quay_standin/src/lib.rs
+++ b/crates/quay_standin/src/lib.rs
@@ -20,5 +20,5 @@
 pub use {
     engine::{Engine, EngineCounts, EngineSettings},
     service::{Service, ServiceSettings},
-    weights::Weights,
+    weights::WeightServer,
 };
--- a/crates/quay_standin/src/model/order.rs
+++ b/crates/quay_standin/src/model/order.rs
@@ -42,7 +42,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderError {
     /// A later order was carried out; its fence number.
-    OldFence(FenceNumber),
+    StaleFence(FenceNumber),
 }
 
 /// What the orders so far amount to.
@@ -66,7 +66,7 @@
     /// Carries an order out, unless its fence number is old and that is checked.
     pub(super) fn carry_out(&mut self, now: Time, order: Order) -> Result<(), OrderError> {
         if self.check && order.fence < self.fence {
-            return Err(OrderError::OldFence(self.fence));
+            return Err(OrderError::StaleFence(self.fence));
         }
         self.fence = self.fence.max(order.fence);
         match order.action {
--- a/crates/quay_standin/src/weights.rs
+++ b/crates/quay_standin/src/weights.rs
@@ -17,11 +17,11 @@
 /// A running stand-in weight store: `GET /weights/NAME?bytes=N` is answered
 /// once so many bytes have been sent at the rate of the store.
 #[derive(Debug)]
-pub struct Weights {
+pub struct WeightServer {
     addr: SocketAddr,
 }
 
-impl Weights {
+impl WeightServer {
     /// Starts a store on `listen` that sends `bytes_per_second`.
     ///
     /// # Errors
--- a/crates/quay_standin/tests/model.rs
+++ b/crates/quay_standin/tests/model.rs
@@ -157,7 +157,7 @@
         });
         assert_eq!(engine.order(Time::ZERO, order(5)), Ok(()));
         let expected = if check_fence {
-            Err(OrderError::OldFence(FenceNumber(5)))
+            Err(OrderError::StaleFence(FenceNumber(5)))
         } else {
             Ok(())
         };
--- a/crates/quay_standin/tests/shells.rs
+++ b/crates/quay_standin/tests/shells.rs
@@ -2,7 +2,7 @@
 
 use {
     quay_standin::{
-        Engine, EngineSettings, Service, ServiceSettings, Weights, model::ModelSettings,
+        Engine, EngineSettings, Service, ServiceSettings, WeightServer, model::ModelSettings,
     },
     serde_json::{Value, json},
     std::{
@@ -136,7 +136,7 @@
 
 #[test]
 fn a_weight_store_keeps_to_its_rate() {
-    let weights = Weights::start(ANY, 1_000_000).expect("store");
+    let weights = WeightServer::start(ANY, 1_000_000).expect("store");
     let started = Instant::now();
     let url = format!("http://{}/weights/m?bytes=200000", weights.addr());
     ureq::get(&url).call().expect("answer");
--- a/crates/sapphirequay/src/group.rs
+++ b/crates/sapphirequay/src/group.rs
@@ -91,8 +91,8 @@
     };
     let host = args.host.ok_or("--host ADDR is needed")?;
     let files = match &args.operator {
-        Some(name) => KeyFiles::of_operator(&args.keys, name),
-        None => KeyFiles::in_folder(&args.keys, LinkRole::Operator),
+        Some(name) => KeyFiles::for_operator(&args.keys, name),
+        None => KeyFiles::for_role(&args.keys, LinkRole::Operator),
     };
     let links = Links::connect_only(files.load()?)?;
     let reply = links
--- a/crates/sapphirequay/src/operator.rs
+++ b/crates/sapphirequay/src/operator.rs
@@ -65,8 +65,8 @@
         }
         let dir = keys.ok_or("--keys DIR is needed")?;
         let files = match name {
-            Some(name) => KeyFiles::of_operator(dir, name),
-            None => KeyFiles::in_folder(dir, LinkRole::Operator),
+            Some(name) => KeyFiles::for_operator(dir, name),
+            None => KeyFiles::for_role(dir, LinkRole::Operator),
         };
         let links = Links::connect_only(files.load()?)?;
         Ok(Self {
--- a/crates/sapphirequay/src/stand_in.rs
+++ b/crates/sapphirequay/src/stand_in.rs
@@ -3,7 +3,7 @@
 use {
     gumdrop::Options,
     quay_standin::{
-        Engine, EngineSettings, Service, ServiceSettings, Weights, model::ModelSettings,
+        Engine, EngineSettings, Service, ServiceSettings, WeightServer, model::ModelSettings,
     },
     std::{error::Error, net::SocketAddr, thread, time::Duration},
 };
@@ -104,7 +104,7 @@
             forever(service)
         }
         Some(Command::Weights(args)) => {
-            let weights = Weights::start(args.listen.ok_or(missing)?, args.rate)?;
+            let weights = WeightServer::start(args.listen.ok_or(missing)?, args.rate)?;
             announce("weights", weights.addr());
             forever(weights)
         }
--- a/crates/sapphirequay/tests/operators.rs
+++ b/crates/sapphirequay/tests/operators.rs
@@ -53,7 +53,7 @@
             }),
             ..Settings::default()
         };
-        let identity = KeyFiles::in_folder(&keys, LinkRole::Ledger).load();
+        let identity = KeyFiles::for_role(&keys, LinkRole::Ledger).load();
         let ledger = Daemon::start(&settings, identity.expect("identity")).expect("ledger");
         let began = Instant::now();
         while ledger.config_index().0 == 0 {
--- a/crates/sapphirequayd/src/gateway/control_client.rs
+++ b/crates/sapphirequayd/src/gateway/control_client.rs
@@ -39,8 +39,8 @@
     within: Duration,
 ) -> Result<T, LinkError> {
     let roundtrip = async {
-        let mut stream: LinkStream = links.open_from_task(addr, role, req).await?;
-        stream.recv_in_task().await
+        let mut stream: LinkStream = links.open_async(addr, role, req).await?;
+        stream.recv_async().await
     };
     let answer = timeout(within, roundtrip).await;
     answer.unwrap_or(Err(LinkError::Silent))
--- a/crates/sapphirequayd/src/gateway/run.rs
+++ b/crates/sapphirequayd/src/gateway/run.rs
@@ -217,7 +217,7 @@
             let stores = stores.clone();
             spawn_local(async move {
                 let reply = stores.forward(addr, req).await;
-                let _ = incoming.stream.send_from_task(&reply).await;
+                let _ = incoming.stream.send_async(&reply).await;
             });
         }
         unsupported => log_unsupported(incoming.addr, unsupported),
@@ -300,7 +300,7 @@
             let host = host.clone();
             spawn_local(async move {
                 let reply = host.serve(req).await;
-                let _ = incoming.stream.send_from_task(&reply).await;
+                let _ = incoming.stream.send_async(&reply).await;
             });
         }
         Ok(LinkRequest::Quorum(req)) if incoming.roles.contains(&LinkRole::Ledger) => {
@@ -356,7 +356,7 @@
             let host = host.clone();
             spawn_local(async move {
                 let reply = host.serve(req).await;
-                let _ = incoming.stream.send_from_task(&reply).await;
+                let _ = incoming.stream.send_async(&reply).await;
             });
         }
         unsupported => log_unsupported(incoming.addr, unsupported),
--- a/crates/sapphirequayd/src/main.rs
+++ b/crates/sapphirequayd/src/main.rs
@@ -78,7 +78,7 @@
 /// Runs the process until a signal ends it.
 fn run(settings: &Settings, path: Option<&Path>) -> Result<Ending, String> {
     logging::start(&settings.log).map_err(|err| err.to_string())?;
-    let files = KeyFiles::in_folder(&settings.link.keys, settings.link_role());
+    let files = KeyFiles::for_role(&settings.link.keys, settings.link_role());
     let identity = files.load().map_err(|err| err.to_string())?;
     if settings.is_gateway() {
         let path = path.ok_or("--config FILE is needed")?;
--- a/crates/sapphirequayd/src/process/group/peers.rs
+++ b/crates/sapphirequayd/src/process/group/peers.rs
@@ -178,7 +178,7 @@
 /// since they may exceed the size of a frame.
 fn send_message(stream: &LinkStream, message: Message) -> Result<usize, LinkError> {
     let Message::Snapshot { .. } = &message else {
-        return stream.send_counted(&PeerFrame::Whole(message));
+        return stream.send_returning_size(&PeerFrame::Whole(message));
     };
     let bytes = postcard::to_stdvec(&message).map_err(LinkError::Decode)?;
     let mut sent = 0;
@@ -188,7 +188,7 @@
             Some(_) => PeerFrame::Part(part.into()),
             None => PeerFrame::LastPart(part.into()),
         };
-        sent += stream.send_counted(&frame)?;
+        sent += stream.send_returning_size(&frame)?;
     }
     Ok(sent)
 }
--- a/crates/sapphirequayd/src/settings/check.rs
+++ b/crates/sapphirequayd/src/settings/check.rs
@@ -114,7 +114,7 @@
 
     /// The key files can be read and fit each other's form.
     fn check_keys(&self, problems: &mut Vec<Problem>) {
-        let files = KeyFiles::in_folder(&self.link.keys, self.link_role());
+        let files = KeyFiles::for_role(&self.link.keys, self.link_role());
         if let Err(err) = files.load() {
             problems.push(Problem::new("link", "keys", err.to_string()));
         }
--- a/crates/sapphirequayd/tests/common/gateway.rs
+++ b/crates/sapphirequayd/tests/common/gateway.rs
@@ -129,7 +129,7 @@
     /// Client with the link identity of a front.
     pub fn front_client(&self) -> Links {
         let keys = self.folder.path().join("keys");
-        let identity = KeyFiles::in_folder(&keys, LinkRole::Entry).load();
+        let identity = KeyFiles::for_role(&keys, LinkRole::Entry).load();
         Links::connect_only(identity.expect("identity")).expect("links")
     }
 
--- a/crates/sapphirequayd/tests/upstreams.rs
+++ b/crates/sapphirequayd/tests/upstreams.rs
@@ -50,7 +50,7 @@
     let caller = post_in_background(daemons.addr());
     wait_for("the response starts", || engine.counts().running == 1);
     thread::sleep(Duration::from_millis(300));
-    engine.silence();
+    engine.stall_connections();
     let (status, text) = caller.join().expect("caller");
     assert_eq!(status, 200);
     assert_eq!(streamed_text(&text), expected_text(100));
