--- a/crates/quay_experiment/src/capacity/plan.rs
+++ b/crates/quay_experiment/src/capacity/estimate.rs
@@ -44,7 +44,7 @@
 
     /// Share of the limit that the figure takes.
     #[must_use]
-    pub fn fill(&self) -> Option<f64> {
+    pub fn limit_share(&self) -> Option<f64> {
         self.limit.map(|limit| self.figure / limit)
     }
 }
@@ -56,8 +56,10 @@
             "{:<44} {:>14.3} {:<8}",
             self.name, self.figure, self.unit
         )?;
-        match (self.limit, self.fill()) {
-            (Some(limit), Some(fill)) => write!(f, " limit {limit:>12.3}  {:>6.1}%", fill * 100.0),
+        match (self.limit, self.limit_share()) {
+            (Some(limit), Some(share)) => {
+                write!(f, " limit {limit:>12.3}  {:>6.1}%", share * 100.0)
+            }
             _ => Ok(()),
         }
     }
@@ -65,7 +67,7 @@
 
 /// Works out the figures.
 #[must_use]
-pub fn plan(target: &Target, slopes: &[Slope]) -> Vec<Row> {
+pub fn estimate(target: &Target, slopes: &[Slope]) -> Vec<Row> {
     let at = |name: &str, size: f64| {
         let slope = slopes.iter().find(|slope| &*slope.name == name);
         slope.map_or(f64::NAN, |slope| slope.at(size))
--- a/crates/quay_experiment/src/capacity/mod.rs
+++ b/crates/quay_experiment/src/capacity/mod.rs
@@ -4,18 +4,18 @@
 //! not.
 
 mod configuration;
+mod estimate;
 mod ledger;
 mod line_fit;
 mod log;
 mod members;
-mod plan;
 mod policy;
 mod slope;
 mod target;
 
 pub use {
+    estimate::{Row, estimate},
     line_fit::LineFit,
-    plan::{Row, plan},
     slope::{Sample, Slope},
     target::Target,
 };
@@ -48,7 +48,7 @@
     slopes.extend(configuration::slopes());
     slopes.extend(policy::slopes());
     slopes.extend(log::slopes(scratch)?);
-    let rows = plan(&target, &slopes);
+    let rows = estimate(&target, &slopes);
     Ok(CapacityReport {
         target,
         slopes,
--- a/crates/quay_experiment/src/policy/mod.rs
+++ b/crates/quay_experiment/src/policy/mod.rs
@@ -17,8 +17,8 @@
 
 pub use {
     plot::plot,
-    policies::{NAMES, run_one},
-    report::{Report, Row, report},
+    policies::{POLICY_NAMES, run_policy},
+    report::{Report, Row, run_policies},
     scenario::{Deployment, Scenario},
     stats::Stats,
 };
--- a/crates/quay_experiment/src/policy/policies.rs
+++ b/crates/quay_experiment/src/policy/policies.rs
@@ -29,11 +29,11 @@
         )*
 
         /// Names of all policies, in the order of reports.
-        pub const NAMES: &[&str] = &[ $( $policy::NAME, )* ];
+        pub const POLICY_NAMES: &[&str] = &[ $( $policy::NAME, )* ];
 
         /// Runs the policy of that name; `None` if there is none.
         #[must_use]
-        pub fn run_one(name: &str, scenario: &Scenario, seed: u64) -> Option<Stats> {
+        pub fn run_policy(name: &str, scenario: &Scenario, seed: u64) -> Option<Stats> {
             match name {
                 $( $name => Some(World::<$policy>::new(scenario, seed).run()), )*
                 _ => None,
--- a/crates/quay_experiment/src/policy/report.rs
+++ b/crates/quay_experiment/src/policy/report.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        policies::{NAMES, run_one},
+        policies::{POLICY_NAMES, run_policy},
         scenario::{Deployment, Scenario},
         stats::Stats,
     },
@@ -62,11 +62,11 @@
 /// Runs every policy whose name contains a part of `only`, which commas
 /// separate, in every scenario whose name contains `within`.
 #[must_use]
-pub fn report(seed: u64, only: &str, within: &str) -> Report {
+pub fn run_policies(seed: u64, only: &str, within: &str) -> Report {
     let jobs: Vec<(Scenario, &'static str)> = scenarios()
         .into_iter()
         .filter(|scenario| scenario.name().contains(within))
-        .flat_map(|scenario| NAMES.iter().map(move |name| (scenario, *name)))
+        .flat_map(|scenario| POLICY_NAMES.iter().map(move |name| (scenario, *name)))
         .filter(|(_, name)| only.split(',').any(|part| name.contains(part)))
         .collect();
     let next = Mutex::new(0);
@@ -79,7 +79,7 @@
                     let Some((scenario, policy)) = jobs.get(at) else {
                         return;
                     };
-                    let row = run_one(policy, scenario, seed).map(|stats| Row {
+                    let row = run_policy(policy, scenario, seed).map(|stats| Row {
                         scenario: scenario.name().into(),
                         policy,
                         stats,
--- a/crates/quay_experiment/tests/policy.rs
+++ b/crates/quay_experiment/tests/policy.rs
@@ -1,6 +1,6 @@
 //! Tests of the policy experiment.
 
-use quay_experiment::policy::{Deployment, NAMES, Scenario, run_one};
+use quay_experiment::policy::{Deployment, POLICY_NAMES, Scenario, run_policy};
 
 fn short(deployment: Deployment, faults: bool) -> Scenario {
     Scenario {
@@ -12,7 +12,7 @@
 #[test]
 fn the_same_seed_gives_the_same_run() {
     let scenario = short(Deployment::Olivera, true);
-    let run = |seed| run_one("the policy", &scenario, seed);
+    let run = |seed| run_policy("the policy", &scenario, seed);
     assert_eq!(run(3), run(3));
     assert_ne!(run(3), run(4));
 }
@@ -20,12 +20,12 @@
 #[test]
 fn every_policy_tells_each_program_its_end() {
     // A run asserts by itself that no program is left without one.
-    for name in NAMES {
+    for name in POLICY_NAMES {
         let scenario = Scenario {
             seconds: 4,
             ..short(Deployment::Ordinalia, true)
         };
-        let stats = run_one(name, &scenario, 1).expect("a known policy");
+        let stats = run_policy(name, &scenario, 1).expect("a known policy");
         assert!(stats.programs > 0, "{name}");
     }
 }
@@ -34,13 +34,13 @@
 fn two_poison_programs_cost_at_most_three_engines_each() {
     for seed in [1, 2] {
         let scenario = short(Deployment::Ordinalia, true);
-        let stats = run_one("the policy", &scenario, seed).expect("a known policy");
+        let stats = run_policy("the policy", &scenario, seed).expect("a known policy");
         assert!(
             (1..=6).contains(&stats.lost_to_poison),
             "{}",
             stats.lost_to_poison
         );
-        let without = run_one("less quarantine", &scenario, seed).expect("a known policy");
+        let without = run_policy("less quarantine", &scenario, seed).expect("a known policy");
         assert!(without.lost_to_poison > 6, "{}", without.lost_to_poison);
     }
 }
--- a/crates/sapphirequay/src/experiment/policy.rs
+++ b/crates/sapphirequay/src/experiment/policy.rs
@@ -2,7 +2,7 @@
 
 use {
     gumdrop::Options,
-    quay_experiment::policy::{plot, report},
+    quay_experiment::policy::{plot, run_policies},
     std::{error::Error, fs, path::PathBuf},
 };
 
@@ -28,7 +28,7 @@
 
 /// Runs the experiment and prints its report.
 pub fn run(args: &PolicyArgs) -> Result<(), Box<dyn Error>> {
-    let report = report(args.seed, &args.only, &args.within);
+    let report = run_policies(args.seed, &args.only, &args.within);
     if let Some(path) = &args.plot {
         fs::write(path, plot(&report)?)?;
     }
