--- a/crates/quay_experiment/src/faults/calls/callers.rs
+++ b/crates/quay_experiment/src/faults/calls/callers.rs
@@ -1,14 +1,14 @@
-//! Callers start programs, make calls and send them again.
+//! Callers that start programs, make calls and retry them.
 
 use {
     crate::faults::{
         Promise, Score,
         calls::{
             entry::Request,
-            truth::{Call, Told},
+            ground_truth::{Call, CallerResult},
             world::{BUDGET, CALLS, CallWorld, PROGRAMS, account, answer_of},
         },
-        chance::{chance, draw},
+        random::{chance, draw},
     },
     quay_ledger::{Op, Reply},
     quay_types::{NewProgram, ProgramId, ProgramLimits, RequestKey, Tokens},
@@ -16,8 +16,8 @@
 };
 
 impl CallWorld {
-    /// Callers start programs, make calls and send them again.
-    pub(super) fn callers(&mut self, rng: &mut ChaCha8Rng) {
+    /// Starts programs, makes calls and retries calls on behalf of the callers.
+    pub(super) fn run_callers(&mut self, rng: &mut ChaCha8Rng) {
         if self.programs.len() < PROGRAMS && chance(rng, 100) {
             self.start_program(rng);
         }
@@ -32,24 +32,27 @@
         let (program, last) = (*program, calls.last().copied());
         let count = u32::try_from(calls.len()).unwrap_or(u32::MAX);
         match last {
-            // An answer that is not final is asked for again.
-            Some(call) if !self.final_answer(call) && !chance(rng, 100) => {
+            // Retries a call without a final result.
+            Some(call) if !self.has_final_result(call) && !chance(rng, 100) => {
                 if self.calls[call].requests == 0 || chance(rng, 100) {
                     self.send(call);
                 }
             }
             _ if count >= CALLS => self.end_program(program),
-            // Now and then a call goes out before the one before it is answered.
+            // Sometimes makes a call before the previous call is answered.
             _ => self.next_call(program, count, rng),
         }
     }
 
-    /// Whether the caller will not ask again.
-    pub(super) fn final_answer(&self, call: usize) -> bool {
-        matches!(self.calls[call].told, Told::Whole(_) | Told::MayHaveRun)
+    /// Returns whether the caller has a final result and will not retry.
+    pub(super) fn has_final_result(&self, call: usize) -> bool {
+        matches!(
+            self.calls[call].told,
+            CallerResult::Complete(_) | CallerResult::MayHaveRun
+        )
     }
 
-    /// Creates a program; some are sub-agents of one that is under way.
+    /// Creates a program; some are sub-agents of an open program.
     pub(super) fn start_program(&mut self, rng: &mut ChaCha8Rng) {
         let parent = self
             .programs
@@ -77,7 +80,7 @@
         }
     }
 
-    /// Ends a program; calls of it that are under way go on.
+    /// Ends a program; its calls in progress continue.
     pub(super) fn end_program(&mut self, program: ProgramId) {
         self.apply(Op::End(program, account()));
         self.programs.retain(|id, _| {
@@ -92,7 +95,7 @@
             number: count + 1,
             idempotent: chance(rng, 500),
             reserve: 20 + draw(rng, 400),
-            told: Told::Nothing,
+            told: CallerResult::Pending,
             requests: 0,
             ran: Vec::new(),
         };
@@ -104,17 +107,17 @@
         self.send(slot);
     }
 
-    /// Sends a request for a call to some entry.
+    /// Sends a request for a call to an entry.
     pub(super) fn send(&mut self, call: usize) {
         self.calls[call].requests += 1;
-        self.calls[call].told = Told::Nothing;
+        self.calls[call].told = CallerResult::Pending;
         self.next_request += 1;
         self.requests
             .insert(self.next_request, Request::new(call, self.now));
     }
 
-    /// Tells the caller the end of a request.
-    pub(super) fn tell(&mut self, id: u64, told: &Told, score: &mut Score) {
+    /// Reports the result of a request to its caller.
+    pub(super) fn report_result(&mut self, id: u64, told: &CallerResult, score: &mut Score) {
         let Some(request) = self.requests.shift_remove(&id) else {
             return;
         };
@@ -123,33 +126,35 @@
         let before = std::mem::replace(&mut call.told, told.clone());
         let call = &self.calls[request.call];
         match (told, &before) {
-            (Told::NotRun, _) => {
-                // Another request of the same call may have run it.
-                let held = call.ran.is_empty() || call.requests > 0 || before != Told::Nothing;
+            (CallerResult::NotRun, _) => {
+                // Another request for the same call may have run the call.
+                let held =
+                    call.ran.is_empty() || call.requests > 0 || before != CallerResult::Pending;
                 let ran = call.ran.len();
-                self.test(Promise::NotRun, score, held, || {
+                self.check(Promise::NotRun, score, held, || {
                     format!("call {} told not run, ran {ran} times", request.call)
                 });
             }
-            (Told::Whole(answer), _) => {
+            (CallerResult::Complete(answer), _) => {
                 let known = call
                     .ran
                     .iter()
                     .any(|permit| **answer == *answer_of(permit.index));
-                self.test(Promise::WholeAnswer, score, known, || {
+                self.check(Promise::WholeAnswer, score, known, || {
                     "an answer of no attempt of this call".into()
                 });
-                if let Told::Whole(first) = &before {
+                if let CallerResult::Complete(first) = &before {
                     let same = first == answer;
-                    self.test(Promise::WholeAnswer, score, same, || {
+                    self.check(Promise::WholeAnswer, score, same, || {
                         "two requests of a call got two answers".into()
                     });
                 }
             }
             _ => {}
         }
-        // What was told once stands: a later request may know less.
-        if matches!(before, Told::Whole(_)) {
+        // A complete answer is kept: a later request may return less
+        // information.
+        if matches!(before, CallerResult::Complete(_)) {
             self.calls[request.call].told = before;
         }
     }
--- a/crates/quay_experiment/src/faults/calls/entry.rs
+++ b/crates/quay_experiment/src/faults/calls/entry.rs
@@ -1,52 +1,52 @@
-//! A request on its way through an entry.
+//! A request being processed by an entry.
 
 use quay_types::{Outcome, Permit, Time};
 
-/// What a request waits for.
+/// The event that a request waits for.
 #[derive(Debug, Clone)]
-pub(super) enum Waits {
-    /// For its next step, which it may take now.
-    Turn,
-    /// For the ledger's answer to `begin`.
+pub(super) enum Wait {
+    /// The time of its next attempt to obtain a permit.
+    Retry,
+    /// The reply of the ledger to `begin`.
     Begin,
-    /// For the end of its attempt at the sidecar.
+    /// The end of its attempt at the sidecar.
     Attempt(Permit),
-    /// For what a sidecar says of a permit; the answer may not come.
-    Inquiry(Permit),
-    /// For the ledger to record an outcome.
+    /// The permit status from its sidecar; the reply may be lost.
+    Status(Permit),
+    /// The ledger's confirmation that the outcome is recorded.
     Settle(Permit, Outcome),
 }
 
-/// A request on its way through an entry.
+/// A request being processed by an entry.
 #[derive(Debug, Clone)]
 pub(super) struct Request {
-    /// Slot of its call.
+    /// Index of its call.
     pub call: usize,
-    /// What it waits for.
-    pub waits: Waits,
-    /// Counts the questions that it has asked.
-    pub question: u32,
-    /// When it last asked the ledger for leave.
-    pub asked: Time,
-    /// When it stops waiting.
-    pub patience: Time,
-    /// It does nothing until then.
+    /// The event that the request waits for.
+    pub waits_for: Wait,
+    /// Number of exchanges that the request has started.
+    pub exchange: u32,
+    /// Time at which the request last asked the ledger for a permit.
+    pub requested_at: Time,
+    /// Time at which the current wait expires.
+    pub wait_deadline: Time,
+    /// Time until which the entry does not process the request.
     pub frozen_until: Time,
-    /// Attempts that were refused before they ran.
+    /// Number of attempts that were refused before they ran.
     pub refused: u32,
-    /// Attempts that may have run without an answer.
+    /// Number of attempts that may have run but gave no answer.
     pub lost: u32,
 }
 
 impl Request {
-    /// A request that has just arrived.
+    /// Creates a request that has just arrived.
     pub fn new(call: usize, now: Time) -> Self {
         Self {
             call,
-            waits: Waits::Turn,
-            question: 0,
-            asked: now,
-            patience: now,
+            waits_for: Wait::Retry,
+            exchange: 0,
+            requested_at: now,
+            wait_deadline: now,
             frozen_until: Time::ZERO,
             refused: 0,
             lost: 0,
--- a/crates/quay_experiment/src/faults/calls/histories.rs
+++ b/crates/quay_experiment/src/faults/calls/histories.rs
@@ -1,10 +1,10 @@
-//! What must be in the histories in the end.
+//! Final check of the program histories.
 
 use {
     crate::faults::{
         Promise, Score,
         calls::{
-            truth::Told,
+            ground_truth::CallerResult,
             world::{CallWorld, account},
         },
     },
@@ -15,9 +15,9 @@
 };
 
 impl CallWorld {
-    /// Every answer that a caller has is in its program's history, and nobody
-    /// else's is.
-    pub(super) fn test_histories(&mut self, score: &mut Score) {
+    /// Checks that every answer that a caller received is in the history of its
+    /// program, and that the history holds no prompt of another program.
+    pub(super) fn check_histories(&mut self, score: &mut Score) {
         let mut by_program: IndexMap<ProgramId, Vec<usize>> = IndexMap::new();
         for (slot, call) in self.calls.iter().enumerate() {
             by_program.entry(call.program).or_default().push(slot);
@@ -30,12 +30,12 @@
             for record in &status.calls {
                 let prompt = <[u8; 8]>::try_from(&*record.prompt).map(usize::from_le_bytes);
                 let own = prompt.is_ok_and(|slot| slots.contains(&slot));
-                self.test(Promise::History, score, own, || {
+                self.check(Promise::History, score, own, || {
                     format!("{program} holds a prompt of another program")
                 });
             }
             for slot in slots {
-                let Told::Whole(answer) = &self.calls[slot].told else {
+                let CallerResult::Complete(answer) = &self.calls[slot].told else {
                     continue;
                 };
                 let number = CallNumber(self.calls[slot].number);
@@ -43,7 +43,7 @@
                 let kept = record.and_then(|record| record.outcome.as_ref());
                 let held =
                     matches!(kept, Some(Outcome::Completed { answer: kept, .. }) if kept == answer);
-                self.test(Promise::History, score, held, || {
+                self.check(Promise::History, score, held, || {
                     format!("{program} lost the answer of call {number}")
                 });
             }
--- a/crates/quay_experiment/src/faults/calls/wire.rs
+++ b/crates/quay_experiment/src/faults/calls/messages.rs
@@ -1,10 +1,10 @@
-//! Messages, and the commands that the ledger commits.
+//! Message delivery, and the commands that the ledger commits.
 
 use {
     crate::faults::{
         Promise, Score,
         calls::world::{CallWorld, Message, Stream},
-        chance::{chance, draw},
+        random::{chance, draw},
     },
     quay_ledger::{Command, Op, Reply},
     quay_quorum::StateMachine as _,
@@ -14,8 +14,8 @@
 };
 
 impl CallWorld {
-    /// Sends a message, which may get lost or come late.
-    pub(super) fn post(&mut self, message: &Message, rng: &mut ChaCha8Rng) {
+    /// Sends a message, which may be lost or delayed.
+    pub(super) fn send_message(&mut self, message: &Message, rng: &mut ChaCha8Rng) {
         if chance(rng, 20) {
             return;
         }
@@ -24,34 +24,39 @@
         } else {
             draw(rng, 30)
         };
-        // A command to the ledger may be sent again; streams deliver once.
+        // A command to the ledger may be duplicated; streams deliver at most
+        // once.
         let command = matches!(message, Message::Begin(..) | Message::Settle(..));
         let copies = if command && chance(rng, 20) { 2 } else { 1 };
         for copy in 0..copies {
             let due = self.now + Duration::from_millis(delay + copy * draw(rng, 4_000));
-            self.wire.push((due, message.clone()));
+            self.in_flight.push((due, message.clone()));
         }
     }
 
-    /// Delivers what is due; messages to what is frozen wait.
+    /// Delivers due messages; messages to a frozen receiver are postponed.
     pub(super) fn deliver_due(&mut self, rng: &mut ChaCha8Rng, score: &mut Score) {
         let now = self.now;
-        let due: Vec<_> = self.wire.extract_if(.., |(due, _)| *due <= now).collect();
+        let due: Vec<_> = self
+            .in_flight
+            .extract_if(.., |(due, _)| *due <= now)
+            .collect();
         for (_, message) in due {
-            match self.thaws(&message) {
-                Some(until) => self.wire.push((until, message)),
+            match self.frozen_receiver_until(&message) {
+                Some(until) => self.in_flight.push((until, message)),
                 None => self.receive(message, rng, score),
             }
         }
     }
 
-    /// When the receiver of a message thaws, if it is frozen.
-    pub(super) fn thaws(&self, message: &Message) -> Option<Time> {
+    /// Returns the time at which the receiver of a message unfreezes, or `None`
+    /// if the receiver is not frozen.
+    pub(super) fn frozen_receiver_until(&self, message: &Message) -> Option<Time> {
         let until = match message {
             Message::Begin(..) | Message::Settle(..) => return None,
             Message::Deliver(_, permit)
             | Message::Proceed(_, permit)
-            | Message::Inquire(_, permit) => {
+            | Message::QueryPermit(_, permit) => {
                 let sidecar = self
                     .sidecars
                     .iter()
@@ -62,37 +67,44 @@
             | Message::Begun(stream, _)
             | Message::Settled(stream, _)
             | Message::Ended(stream, _)
-            | Message::Fate(stream, _) => self.listens(*stream).map(|it| it.frozen_until),
+            | Message::PermitStatus(stream, _) => {
+                self.current_request(*stream).map(|it| it.frozen_until)
+            }
         };
         until.filter(|until| *until > self.now)
     }
 
-    /// Takes one message.
+    /// Dispatches a message to its handler.
     pub(super) fn receive(&mut self, message: Message, rng: &mut ChaCha8Rng, score: &mut Score) {
         match message {
             Message::Begin(stream, begin) => {
                 if let Reply::Begin(reply) = self.apply(Op::Begin(begin)) {
-                    self.post(&Message::Begun(stream, reply), rng);
+                    self.send_message(&Message::Begun(stream, reply), rng);
                 }
             }
             Message::Settle(stream, settle) => {
                 let reply = self.apply(Op::Settle(settle));
-                self.post(&Message::Settled(stream, reply), rng);
+                self.send_message(&Message::Settled(stream, reply), rng);
             }
             Message::Ready(stream, permit) => self.confirm(stream, permit, rng),
             Message::Proceed(stream, permit) => self.proceed(stream, &permit, score),
             Message::Deliver(stream, permit) => self.admit(stream, permit, rng, score),
-            Message::Inquire(stream, permit) => self.answer_inquiry(stream, &permit, rng),
-            Message::Begun(stream, reply) => self.begun(stream, reply, rng, score),
-            Message::Settled(stream, reply) => self.settled(stream, reply, rng, score),
-            Message::Ended(stream, outcome) => self.ended(stream, outcome, rng),
-            Message::Fate(stream, fate) => self.fate(stream, fate, rng),
+            Message::QueryPermit(stream, permit) => self.answer_permit_query(stream, &permit, rng),
+            Message::Begun(stream, reply) => self.handle_begin_reply(stream, reply, rng, score),
+            Message::Settled(stream, reply) => self.handle_settle_reply(stream, reply, rng, score),
+            Message::Ended(stream, outcome) => self.handle_attempt_ended(stream, outcome, rng),
+            Message::PermitStatus(stream, status) => self.handle_permit_status(stream, status, rng),
         }
     }
 
-    /// A sidecar says what became of a permit.
-    pub(super) fn answer_inquiry(&mut self, stream: Stream, permit: &Permit, rng: &mut ChaCha8Rng) {
-        let wrong = self.wrong(Promise::NotRun);
+    /// Answers a permit query at its sidecar.
+    pub(super) fn answer_permit_query(
+        &mut self,
+        stream: Stream,
+        permit: &Permit,
+        rng: &mut ChaCha8Rng,
+    ) {
+        let mutated = self.is_mutated(Promise::NotRun);
         let Some(sidecar) = self
             .sidecars
             .iter_mut()
@@ -100,15 +112,15 @@
         else {
             return;
         };
-        let fate = if wrong {
+        let status = if mutated {
             PermitStatus::Refused
         } else {
-            sidecar.fate(permit)
+            sidecar.permit_status(permit)
         };
-        self.post(&Message::Fate(stream, fate), rng);
+        self.send_message(&Message::PermitStatus(stream, status), rng);
     }
 
-    /// Commits a command.
+    /// Applies a command to the ledger.
     pub(super) fn apply(&mut self, op: Op) -> Reply {
         self.index.0 += 1;
         let command = Command {
--- a/crates/quay_experiment/src/faults/calls/requests.rs
+++ b/crates/quay_experiment/src/faults/calls/requests.rs
@@ -1,16 +1,16 @@
-//! Requests on their way through entries.
+//! Request handling in the entries.
 
 use {
     crate::faults::{
         Promise, Score,
         calls::{
-            entry::{Request, Waits},
-            truth::Told,
+            entry::{Request, Wait},
+            ground_truth::CallerResult,
             world::{
-                CallWorld, MAX_ATTEMPTS, Message, PATIENCE, SIDECARS, Stream, account, key_of,
+                CallWorld, MAX_ATTEMPTS, Message, REPLY_TIMEOUT, SIDECARS, Stream, account, key_of,
             },
         },
-        chance::draw,
+        random::draw,
     },
     quay_ledger::{Op, Reply},
     quay_types::{
@@ -22,54 +22,56 @@
 };
 
 impl CallWorld {
-    /// Takes the next step of a request if it is due.
-    pub(super) fn go_on(&mut self, id: u64, rng: &mut ChaCha8Rng, score: &mut Score) {
+    /// Advances a request whose current wait has expired.
+    pub(super) fn advance_request(&mut self, id: u64, rng: &mut ChaCha8Rng, score: &mut Score) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
         if request.frozen_until > self.now {
             return;
         }
-        let overdue = self.now >= request.patience;
-        match request.waits.clone() {
-            Waits::Turn if overdue => self.ask_to_begin(id, rng),
-            // The key is the caller's: an earlier request may have run it.
-            Waits::Begin if overdue => self.tell(id, &Told::MayHaveRun, score),
-            Waits::Attempt(permit) if overdue => self.inquire(id, permit, rng),
-            Waits::Inquiry(permit) if overdue => self.settle_as(id, permit, Outcome::Unknown, rng),
-            Waits::Settle(permit, outcome) if overdue => self.settle_as(id, permit, outcome, rng),
+        let overdue = self.now >= request.wait_deadline;
+        match request.waits_for.clone() {
+            Wait::Retry if overdue => self.request_permit(id, rng),
+            // The caller's key is shared by its retries, so an earlier request
+            // may have run the call.
+            Wait::Begin if overdue => self.report_result(id, &CallerResult::MayHaveRun, score),
+            Wait::Attempt(permit) if overdue => self.query_permit(id, permit, rng),
+            Wait::Status(permit) if overdue => self.settle_as(id, permit, Outcome::Unknown, rng),
+            Wait::Settle(permit, outcome) if overdue => self.settle_as(id, permit, outcome, rng),
             _ => {}
         }
     }
 
-    /// Sets what a request waits for.
-    pub(super) fn wait(&mut self, id: u64, waits: Waits, patience: Duration) {
-        let until = self.now + patience;
+    /// Sets the event that a request waits for, and the time-out.
+    pub(super) fn wait(&mut self, id: u64, waits_for: Wait, timeout: Duration) {
+        let until = self.now + timeout;
         if let Some(request) = self.requests.get_mut(&id) {
-            request.waits = waits;
-            request.patience = until;
+            request.waits_for = waits_for;
+            request.wait_deadline = until;
         }
     }
 
-    /// Opens a stream for a question of a request.
-    pub(super) fn ask(&mut self, id: u64, waits: Waits) -> Stream {
-        self.wait(id, waits, PATIENCE);
+    /// Opens a stream for a new exchange of a request.
+    pub(super) fn open_exchange(&mut self, id: u64, waits_for: Wait) -> Stream {
+        self.wait(id, waits_for, REPLY_TIMEOUT);
         let request = &mut self.requests[&id];
-        request.question += 1;
+        request.exchange += 1;
         Stream {
             request: id,
-            question: request.question,
+            exchange: request.exchange,
         }
     }
 
-    /// The request that a message is for, if it still listens on that stream.
-    pub(super) fn listens(&self, stream: Stream) -> Option<&Request> {
+    /// Returns the request that a message belongs to, if the stream is the
+    /// current one of the request.
+    pub(super) fn current_request(&self, stream: Stream) -> Option<&Request> {
         let request = self.requests.get(&stream.request)?;
-        (request.question == stream.question).then_some(request)
+        (request.exchange == stream.exchange).then_some(request)
     }
 
-    /// Asks the ledger for leave to run.
-    pub(super) fn ask_to_begin(&mut self, id: u64, rng: &mut ChaCha8Rng) {
+    /// Requests a permit from the ledger.
+    pub(super) fn request_permit(&mut self, id: u64, rng: &mut ChaCha8Rng) {
         let slot = usize::try_from(draw(rng, SIDECARS)).unwrap_or_default();
         let sidecar = &self.sidecars[slot];
         let upstream = (sidecar.upstream, sidecar.incarnation);
@@ -88,13 +90,13 @@
             config: ConfigIndex(1),
             prompt: call_slot.to_le_bytes().into(),
         };
-        self.requests[&id].asked = self.now;
-        let stream = self.ask(id, Waits::Begin);
-        self.post(&Message::Begin(stream, begin), rng);
+        self.requests[&id].requested_at = self.now;
+        let stream = self.open_exchange(id, Wait::Begin);
+        self.send_message(&Message::Begin(stream, begin), rng);
     }
 
-    /// Acts on the ledger's answer to `begin`.
-    pub(super) fn begun(
+    /// Handles the reply of the ledger to `begin`.
+    pub(super) fn handle_begin_reply(
         &mut self,
         stream: Stream,
         reply: BeginReply,
@@ -102,33 +104,34 @@
         score: &mut Score,
     ) {
         let id = stream.request;
-        let Some(request) = self.listens(stream) else {
+        let Some(request) = self.current_request(stream) else {
             return;
         };
         let lost = request.lost;
         match reply {
             BeginReply::Granted { permit, .. } => self.deliver(id, permit, rng),
-            BeginReply::Wait(_) if self.wrong(Promise::Order) => self.forge(id, rng),
+            BeginReply::Wait(_) if self.is_mutated(Promise::Order) => self.forge_permit(id, rng),
             BeginReply::Wait(ms) => {
-                self.wait(id, Waits::Turn, Duration::from_millis(u64::from(ms) * 4));
+                self.wait(id, Wait::Retry, Duration::from_millis(u64::from(ms) * 4));
             }
             BeginReply::Replay(Outcome::Completed { answer, .. }) => {
-                self.tell(id, &Told::Whole(answer), score);
+                self.report_result(id, &CallerResult::Complete(answer), score);
             }
-            BeginReply::Replay(_) => self.tell(id, &Told::MayHaveRun, score),
-            BeginReply::Running(permit) => self.inquire(id, permit, rng),
-            BeginReply::Refused(err) => self.refused(id, &err, lost, score),
+            BeginReply::Replay(_) => self.report_result(id, &CallerResult::MayHaveRun, score),
+            BeginReply::Running(permit) => self.query_permit(id, permit, rng),
+            BeginReply::Refused(err) => self.report_refusal(id, &err, lost, score),
         }
     }
 
-    /// Hands a permit to its sidecar.
+    /// Sends a permit to its sidecar.
     pub(super) fn deliver(&mut self, id: u64, permit: Permit, rng: &mut ChaCha8Rng) {
-        let stream = self.ask(id, Waits::Attempt(permit));
-        self.post(&Message::Deliver(stream, permit), rng);
+        let stream = self.open_exchange(id, Wait::Attempt(permit));
+        self.send_message(&Message::Deliver(stream, permit), rng);
     }
 
-    /// Does not wait, and runs without leave: wrong on purpose.
-    pub(super) fn forge(&mut self, id: u64, rng: &mut ChaCha8Rng) {
+    /// Runs the call with a forged permit instead of waiting; deliberately
+    /// wrong.
+    pub(super) fn forge_permit(&mut self, id: u64, rng: &mut ChaCha8Rng) {
         let call = self.requests[&id].call;
         let sidecar = &self.sidecars[0];
         let permit = Permit {
@@ -146,12 +149,12 @@
         self.deliver(id, permit, rng);
     }
 
-    /// Tells the caller that the ledger or the upstreams refused.
-    pub(super) fn refused(&mut self, id: u64, err: &Error, lost: u32, score: &mut Score) {
+    /// Reports to the caller that the ledger or the upstreams refused the call.
+    pub(super) fn report_refusal(&mut self, id: u64, err: &Error, lost: u32, score: &mut Score) {
         let told = if lost == 0 && err.kind.not_run() {
-            Told::NotRun
+            CallerResult::NotRun
         } else {
-            Told::MayHaveRun
+            CallerResult::MayHaveRun
         };
         let call = self.requests[&id].call;
         let give_up = self.requests[&id].refused > 0 || lost > 0;
@@ -159,36 +162,42 @@
             let program = self.calls[call].program;
             self.apply(Op::GiveUp(program, key_of(call)));
         }
-        self.tell(id, &told, score);
+        self.report_result(id, &told, score);
     }
 
-    /// Asks a sidecar about a permit.
-    pub(super) fn inquire(&mut self, id: u64, permit: Permit, rng: &mut ChaCha8Rng) {
+    /// Queries the status of a permit at its sidecar.
+    pub(super) fn query_permit(&mut self, id: u64, permit: Permit, rng: &mut ChaCha8Rng) {
         let known = self
             .sidecars
             .iter()
             .any(|it| it.upstream == permit.upstream && it.incarnation == permit.incarnation);
         if known {
-            let stream = self.ask(id, Waits::Inquiry(permit));
-            self.post(&Message::Inquire(stream, permit), rng);
+            let stream = self.open_exchange(id, Wait::Status(permit));
+            self.send_message(&Message::QueryPermit(stream, permit), rng);
         } else {
-            // The run that held the permit is gone, and its permits with it.
+            // The sidecar has restarted and lost the permits of its earlier
+            // run.
             self.settle_as(id, permit, Outcome::Unknown, rng);
         }
     }
 
-    /// Acts on what a sidecar says of a permit.
-    pub(super) fn fate(&mut self, stream: Stream, fate: PermitStatus, rng: &mut ChaCha8Rng) {
+    /// Handles the permit status returned by a sidecar.
+    pub(super) fn handle_permit_status(
+        &mut self,
+        stream: Stream,
+        status: PermitStatus,
+        rng: &mut ChaCha8Rng,
+    ) {
         let id = stream.request;
-        let Some(request) = self.listens(stream) else {
+        let Some(request) = self.current_request(stream) else {
             return;
         };
-        let Waits::Inquiry(permit) = request.waits else {
+        let Wait::Status(permit) = request.waits_for else {
             return;
         };
-        match fate {
+        match status {
             PermitStatus::Refused => self.settle_as(id, permit, Outcome::NotRun, rng),
-            PermitStatus::Running => self.wait(id, Waits::Turn, Duration::from_millis(200)),
+            PermitStatus::Running => self.wait(id, Wait::Retry, Duration::from_millis(200)),
             PermitStatus::Ended | PermitStatus::Unknown => {
                 self.settle_as(id, permit, Outcome::Unknown, rng);
             }
@@ -209,12 +218,12 @@
             permit,
             outcome: outcome.clone(),
         };
-        let stream = self.ask(id, Waits::Settle(permit, outcome));
-        self.post(&Message::Settle(stream, settle), rng);
+        let stream = self.open_exchange(id, Wait::Settle(permit, outcome));
+        self.send_message(&Message::Settle(stream, settle), rng);
     }
 
-    /// Acts on what the ledger has recorded.
-    pub(super) fn settled(
+    /// Handles the reply of the ledger to `settle`.
+    pub(super) fn handle_settle_reply(
         &mut self,
         stream: Stream,
         reply: Reply,
@@ -222,30 +231,31 @@
         score: &mut Score,
     ) {
         let id = stream.request;
-        let Some(request) = self.listens(stream) else {
+        let Some(request) = self.current_request(stream) else {
             return;
         };
-        let Waits::Settle(_, outcome) = request.waits.clone() else {
+        let Wait::Settle(_, outcome) = request.waits_for.clone() else {
             return;
         };
         let idempotent = self.calls[request.call].idempotent;
-        let wrong = self.wrong(Promise::WholeAnswer);
+        let mutated = self.is_mutated(Promise::WholeAnswer);
         match (outcome, reply) {
-            (Outcome::Completed { answer, .. }, Reply::Superseded(_)) if wrong => {
-                self.tell(id, &Told::Whole(answer), score);
+            (Outcome::Completed { answer, .. }, Reply::Superseded(_)) if mutated => {
+                self.report_result(id, &CallerResult::Complete(answer), score);
             }
             (Outcome::Completed { answer, .. }, Reply::Done)
             | (_, Reply::Superseded(Outcome::Completed { answer, .. })) => {
-                self.tell(id, &Told::Whole(answer), score);
+                self.report_result(id, &CallerResult::Complete(answer), score);
             }
-            (Outcome::NotRun, Reply::Done) => self.try_again(id, 1, 0, rng, score),
-            (Outcome::Unknown, Reply::Done) if idempotent => self.try_again(id, 0, 1, rng, score),
-            _ => self.tell(id, &Told::MayHaveRun, score),
+            (Outcome::NotRun, Reply::Done) => self.retry(id, 1, 0, rng, score),
+            (Outcome::Unknown, Reply::Done) if idempotent => self.retry(id, 0, 1, rng, score),
+            _ => self.report_result(id, &CallerResult::MayHaveRun, score),
         }
     }
 
-    /// Tries a request elsewhere after an attempt that was refused or lost.
-    pub(super) fn try_again(
+    /// Retries a request at a random sidecar after an attempt was refused or
+    /// lost.
+    pub(super) fn retry(
         &mut self,
         id: u64,
         refused: u32,
@@ -260,10 +270,13 @@
         request.lost += lost;
         let (lost, attempts) = (request.lost, request.refused + request.lost);
         if attempts < MAX_ATTEMPTS {
-            self.ask_to_begin(id, rng);
+            self.request_permit(id, rng);
         } else {
-            let err = Error::new(ErrorKind::PermitRefused, "no attempt is left");
-            self.refused(id, &err, lost, score);
+            let err = Error::new(
+                ErrorKind::PermitRefused,
+                "attempt limit of the request reached",
+            );
+            self.report_refusal(id, &err, lost, score);
         }
     }
 }
--- a/crates/quay_experiment/src/faults/calls/sidecar.rs
+++ b/crates/quay_experiment/src/faults/calls/sidecar.rs
@@ -1,4 +1,4 @@
-//! A sidecar and its upstream.
+//! A simulated sidecar and its upstream.
 
 use {
     crate::faults::calls::world::Stream,
@@ -6,68 +6,69 @@
     quay_types::{Incarnation, Permit, PermitStatus, Time, UpstreamId},
 };
 
-/// An attempt that a sidecar holds.
+/// An attempt held by a sidecar.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Held {
-    /// Its permit.
+pub(super) struct HeldAttempt {
+    /// The permit of the attempt.
     pub permit: Permit,
-    /// Call that it is for, as a slot of the world's calls.
+    /// Index of the call in the calls of the world.
     pub call: usize,
-    /// Where its entry listens.
+    /// Stream on which the entry expects the result.
     pub stream: Stream,
-    /// When the upstream is done.
+    /// Time at which the upstream completes the attempt.
     pub ends: Time,
 }
 
-/// A sidecar with the real permit book and a fake upstream.
+/// A sidecar with the real permit registry and a fake upstream.
 pub(super) struct Sidecar {
     /// The upstream.
     pub upstream: UpstreamId,
-    /// Run of the sidecar.
+    /// Incarnation of the sidecar, increased by each restart.
     pub incarnation: Incarnation,
-    /// Permits of this run.
-    pub book: PermitRegistry,
-    /// Attempts that wait for their entries' word, and until when.
-    pub ready: Vec<(Time, Held)>,
-    /// Attempts that run.
-    pub running: Vec<Held>,
-    /// Messages wait until then.
+    /// Permits of this incarnation.
+    pub registry: PermitRegistry,
+    /// Attempts that wait for confirmation by their entries, with the time at
+    /// which the wait expires.
+    pub ready: Vec<(Time, HeldAttempt)>,
+    /// Running attempts.
+    pub running: Vec<HeldAttempt>,
+    /// Time until which the sidecar processes no messages.
     pub frozen_until: Time,
 }
 
 impl Sidecar {
-    /// The first run of sidecar `slot`.
+    /// Creates sidecar `slot` with its first incarnation.
     pub fn new(slot: u64) -> Self {
         let upstream = UpstreamId(slot + 1);
         let incarnation = Incarnation(1);
         Self {
             upstream,
             incarnation,
-            book: PermitRegistry::new(upstream, incarnation),
+            registry: PermitRegistry::new(upstream, incarnation),
             ready: Vec::new(),
             running: Vec::new(),
             frozen_until: Time::ZERO,
         }
     }
 
-    /// Starts the next run; what it knew of permits is gone, what the upstream
-    /// ran is cut off.
+    /// Starts the next incarnation; its permits are lost and running attempts
+    /// are aborted.
     pub fn restart(&mut self) {
         self.incarnation.0 += 1;
-        self.book = PermitRegistry::new(self.upstream, self.incarnation);
+        self.registry = PermitRegistry::new(self.upstream, self.incarnation);
         self.ready.clear();
         self.running.clear();
     }
 
-    /// Forgets its permits but keeps its identity: wrong on purpose.
-    pub fn forget(&mut self) {
-        self.book = PermitRegistry::new(self.upstream, self.incarnation);
+    /// Loses the permits but keeps the incarnation; deliberately wrong.
+    pub fn lose_permits(&mut self) {
+        self.registry = PermitRegistry::new(self.upstream, self.incarnation);
         self.ready.clear();
         self.running.clear();
     }
 
-    /// What became of a permit.
-    pub fn fate(&mut self, permit: &Permit) -> PermitStatus {
-        self.book.query(permit.id, permit.incarnation).0
+    /// Returns the status of a permit.
+    pub fn permit_status(&mut self, permit: &Permit) -> PermitStatus {
+        self.registry.query(permit.id, permit.incarnation).0
     }
 }
--- a/crates/quay_experiment/src/faults/calls/upstreams.rs
+++ b/crates/quay_experiment/src/faults/calls/upstreams.rs
@@ -1,17 +1,18 @@
-//! Sidecars and upstreams.
+//! Call handling in sidecars and upstreams.
 
 use {
     crate::faults::{
         Promise, Score,
         calls::{
-            entry::Waits,
-            sidecar::Held,
-            truth::Told,
+            entry::Wait,
+            ground_truth::CallerResult,
+            sidecar::HeldAttempt,
             world::{
-                BUDGET, CONFIRM_LIMIT, CallWorld, Message, SILENCE, Stream, answer_of, call_of,
+                BUDGET, CONFIRM_LIMIT, CONFIRMATION_TIMEOUT, CallWorld, Message, Stream, answer_of,
+                call_of,
             },
         },
-        chance::{chance, draw},
+        random::{chance, draw},
     },
     quay_types::{CallEvent, Outcome, Permit, Tokens},
     rand_chacha::ChaCha8Rng,
@@ -19,7 +20,7 @@
 };
 
 impl CallWorld {
-    /// A permit arrives at its sidecar.
+    /// Handles a permit that arrives at its sidecar.
     pub(super) fn admit(
         &mut self,
         stream: Stream,
@@ -34,25 +35,25 @@
         else {
             return;
         };
-        if let Err(event) = self.sidecars[slot].book.admit(Some(&permit)) {
+        if let Err(event) = self.sidecars[slot].registry.admit(Some(&permit)) {
             let outcome = match event {
                 CallEvent::Refused(_) => Outcome::NotRun,
                 _ => Outcome::Unknown,
             };
-            self.post(&Message::Ended(stream, outcome), rng);
+            self.send_message(&Message::Ended(stream, outcome), rng);
             return;
         }
         if chance(rng, 100) {
-            // The queue is full, say.
-            self.sidecars[slot].book.refuse(permit.id);
-            self.post(&Message::Ended(stream, Outcome::NotRun), rng);
+            // Simulates a refusal such as a full queue.
+            self.sidecars[slot].registry.refuse(permit.id);
+            self.send_message(&Message::Ended(stream, Outcome::NotRun), rng);
             return;
         }
         let Some(call) = call_of(permit.key) else {
             return;
         };
         let ends = self.now + Duration::from_millis(20 + draw(rng, 1_500));
-        let attempt = Held {
+        let attempt = HeldAttempt {
             permit,
             call,
             stream,
@@ -63,24 +64,26 @@
         } else {
             self.sidecars[slot]
                 .ready
-                .push((self.now + SILENCE, attempt));
-            self.post(&Message::Ready(stream, permit), rng);
+                .push((self.now + CONFIRMATION_TIMEOUT, attempt));
+            self.send_message(&Message::Ready(stream, permit), rng);
         }
     }
 
-    /// An entry lets its call start, if it still wants it and in time.
+    /// Confirms the start of a call if its request still waits and the time
+    /// limit has not passed.
     pub(super) fn confirm(&mut self, stream: Stream, permit: Permit, rng: &mut ChaCha8Rng) {
-        let Some(request) = self.listens(stream) else {
+        let Some(request) = self.current_request(stream) else {
             return;
         };
-        if self.now.since(request.asked) < CONFIRM_LIMIT {
-            self.post(&Message::Proceed(stream, permit), rng);
+        if self.now.since(request.requested_at) < CONFIRM_LIMIT {
+            self.send_message(&Message::Proceed(stream, permit), rng);
         } else {
             self.settle_as(stream.request, permit, Outcome::NotRun, rng);
         }
     }
 
-    /// A sidecar hears that a call may start.
+    /// Starts a call that its entry has confirmed, or refuses it if the
+    /// confirmation came too late.
     pub(super) fn proceed(&mut self, stream: Stream, permit: &Permit, score: &mut Score) {
         let upstream = permit.upstream;
         let Some(slot) = self.sidecars.iter().position(|it| it.upstream == upstream) else {
@@ -93,12 +96,12 @@
             if until > self.now {
                 self.start(slot, attempt, score);
             } else {
-                self.sidecars[slot].book.refuse(attempt.permit.id);
+                self.sidecars[slot].registry.refuse(attempt.permit.id);
             }
         }
     }
 
-    /// Turns away calls whose entries gave no word.
+    /// Refuses calls that their entries did not confirm in time.
     pub(super) fn refuse_unconfirmed(&mut self, rng: &mut ChaCha8Rng) {
         let now = self.now;
         for slot in 0..self.sidecars.len() {
@@ -111,43 +114,44 @@
                 .extract_if(.., |(until, _)| *until <= now)
                 .collect();
             for (_, attempt) in late {
-                self.sidecars[slot].book.refuse(attempt.permit.id);
-                self.post(&Message::Ended(attempt.stream, Outcome::NotRun), rng);
+                self.sidecars[slot].registry.refuse(attempt.permit.id);
+                self.send_message(&Message::Ended(attempt.stream, Outcome::NotRun), rng);
             }
         }
     }
 
-    /// An upstream starts an attempt.
-    pub(super) fn start(&mut self, slot: usize, attempt: Held, score: &mut Score) {
-        self.runs(attempt.call, &attempt.permit, score);
+    /// Starts an attempt on an upstream.
+    pub(super) fn start(&mut self, slot: usize, attempt: HeldAttempt, score: &mut Score) {
+        self.record_start(attempt.call, &attempt.permit, score);
         self.sidecars[slot].running.push(attempt);
     }
 
-    /// An upstream begins to run a call: the moment that most promises are about.
-    pub(super) fn runs(&mut self, slot: usize, permit: &Permit, score: &mut Score) {
+    /// Records that an upstream starts to run a call, and checks the promises
+    /// on order, repeated runs and results already reported.
+    pub(super) fn record_start(&mut self, slot: usize, permit: &Permit, score: &mut Score) {
         let call = self.calls[slot].clone();
-        let in_order = self.truth.runs(&call);
-        // A call that may run again and was given up may run late: its answer
-        // goes nowhere, and its caller was told so.
-        let in_order = in_order || (call.idempotent && call.told == Told::MayHaveRun);
-        self.test(Promise::Order, score, in_order, || {
+        let in_order = self.ground_truth.record_start(&call);
+        // An idempotent call that was abandoned may run late: its answer is
+        // discarded, and its caller was told that the call may have run.
+        let in_order = in_order || (call.idempotent && call.told == CallerResult::MayHaveRun);
+        self.check(Promise::Order, score, in_order, || {
             format!(
                 "call {} of {} first ran after a later one",
                 call.number, call.program
             )
         });
         let once = call.idempotent || call.ran.is_empty();
-        self.test(Promise::AtMostOnce, score, once, || {
+        self.check(Promise::AtMostOnce, score, once, || {
             format!("call {slot} ran twice")
         });
-        let told = call.told == Told::NotRun && call.requests == 0;
-        self.test(Promise::NotRun, score, !told, || {
+        let told = call.told == CallerResult::NotRun && call.requests == 0;
+        self.check(Promise::NotRun, score, !told, || {
             format!("call {slot} ran after it was told not run")
         });
         self.calls[slot].ran.push(permit.id);
     }
 
-    /// Upstreams finish what is due.
+    /// Completes the attempts that are due.
     pub(super) fn finish_attempts(&mut self, rng: &mut ChaCha8Rng, score: &mut Score) {
         for slot in 0..self.sidecars.len() {
             if self.sidecars[slot].frozen_until > self.now {
@@ -164,43 +168,48 @@
         }
     }
 
-    /// An upstream finishes one attempt.
+    /// Completes one attempt on an upstream.
     pub(super) fn finish(
         &mut self,
         slot: usize,
-        attempt: &Held,
+        attempt: &HeldAttempt,
         rng: &mut ChaCha8Rng,
         score: &mut Score,
     ) {
-        let most = attempt.permit.reserved.0;
-        // The sidecar cuts the answer at its reservation.
-        let most = if self.wrong(Promise::Budget) {
-            most * 8
+        let max_tokens = attempt.permit.reserved.0;
+        // The sidecar truncates the answer at the token reservation.
+        let max_tokens = if self.is_mutated(Promise::Budget) {
+            max_tokens * 8
         } else {
-            most
+            max_tokens
         };
-        let tokens = 1 + draw(rng, most);
+        let tokens = 1 + draw(rng, max_tokens);
         let program = self.calls[attempt.call].program;
-        let used = self.truth.uses(program, tokens);
-        self.test(Promise::Budget, score, used <= BUDGET.0, || {
+        let used = self.ground_truth.record_tokens(program, tokens);
+        self.check(Promise::Budget, score, used <= BUDGET.0, || {
             format!("program {program} used {used} tokens of {}", BUDGET.0)
         });
-        self.sidecars[slot].book.end(attempt.permit.id, None);
+        self.sidecars[slot].registry.end(attempt.permit.id, None);
         let outcome = Outcome::Completed {
             prompt: Tokens(0),
             output: Tokens(tokens.min(attempt.permit.reserved.0)),
             answer: answer_of(attempt.permit.id.index),
         };
-        self.post(&Message::Ended(attempt.stream, outcome), rng);
+        self.send_message(&Message::Ended(attempt.stream, outcome), rng);
     }
 
-    /// An entry hears how its attempt ended.
-    pub(super) fn ended(&mut self, stream: Stream, outcome: Outcome, rng: &mut ChaCha8Rng) {
+    /// Handles the outcome of an attempt at its entry.
+    pub(super) fn handle_attempt_ended(
+        &mut self,
+        stream: Stream,
+        outcome: Outcome,
+        rng: &mut ChaCha8Rng,
+    ) {
         let id = stream.request;
-        let Some(request) = self.listens(stream) else {
+        let Some(request) = self.current_request(stream) else {
             return;
         };
-        if let Waits::Attempt(permit) = request.waits {
+        if let Wait::Attempt(permit) = request.waits_for {
             self.settle_as(id, permit, outcome, rng);
         }
     }
--- a/crates/quay_experiment/src/faults/calls/world.rs
+++ b/crates/quay_experiment/src/faults/calls/world.rs
@@ -1,14 +1,14 @@
-//! The world of calls and its faults.
+//! State of the call simulation.
 
 use {
     crate::faults::{
         Decisions, Promise, Score, Trial,
         calls::{
             entry::Request,
+            ground_truth::{Call, GroundTruth},
             sidecar::Sidecar,
-            truth::{Call, Truth},
         },
-        chance::draw,
+        random::draw,
     },
     indexmap::IndexMap,
     quay_ledger::{Ledger, LedgerLimits, MemoryHistory, Reply},
@@ -21,69 +21,70 @@
     std::time::Duration,
 };
 
-/// Sidecars of a world.
+/// Number of sidecars.
 pub(super) const SIDECARS: u64 = 4;
 
-/// Programs under way at a time.
+/// Maximum number of open programs.
 pub(super) const PROGRAMS: usize = 6;
 
-/// Calls of a program at most.
+/// Maximum number of calls of a program.
 pub(super) const CALLS: u32 = 6;
 
-/// Budget of a root program.
+/// Token budget of a root program.
 pub(super) const BUDGET: Tokens = Tokens(2_000);
 
-/// Attempts of one request at most.
+/// Maximum number of attempts of a request.
 pub(super) const MAX_ATTEMPTS: u32 = 3;
 
-/// How long a request waits for one answer.
-pub(super) const PATIENCE: Duration = Duration::from_secs(3);
+/// Time after which a request stops waiting for a reply.
+pub(super) const REPLY_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time from asking for a permit within which an entry lets a call start.
+/// Time after a permit request within which an entry may confirm the start of
+/// the call.
 pub(super) const CONFIRM_LIMIT: Duration = Duration::from_secs(8);
 
-/// How long a sidecar waits for an entry's word.
-pub(super) const SILENCE: Duration = Duration::from_secs(5);
+/// Time after which a sidecar refuses a call that its entry has not confirmed.
+pub(super) const CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Longest time that something stands still, in milliseconds.
-pub(super) const LONGEST_FREEZE_MS: u64 = 20_000;
+/// Upper bound of a freeze, in milliseconds.
+pub(super) const MAX_FREEZE_MS: u64 = 20_000;
 
-/// The stream that a message belongs to: answers to an earlier question of the
-/// same request are not heard any more.
+/// The stream that a message belongs to; replies to an earlier exchange of the
+/// same request are ignored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Stream {
     /// The request.
     pub request: u64,
-    /// Counts the request's questions.
-    pub question: u32,
+    /// Number of the exchange within the request.
+    pub exchange: u32,
 }
 
-/// A message under way.
+/// A message in flight.
 #[derive(Debug, Clone)]
 pub(super) enum Message {
-    /// To the ledger.
+    /// To the ledger: a command.
     Begin(Stream, Begin),
-    /// To the ledger.
+    /// To the ledger: a command.
     Settle(Stream, Settle),
-    /// To the sidecar in the permit.
+    /// To the sidecar named in the permit.
     Deliver(Stream, Permit),
-    /// To the sidecar in the permit: the call may start.
+    /// To the sidecar named in the permit: the call may start.
     Proceed(Stream, Permit),
-    /// To the sidecar in the permit.
-    Inquire(Stream, Permit),
-    /// To an entry: its call waits for its word.
+    /// To the sidecar named in the permit.
+    QueryPermit(Stream, Permit),
+    /// To an entry: the call waits for confirmation.
     Ready(Stream, Permit),
-    /// To an entry: what the ledger says.
+    /// To an entry: the reply of the ledger to `begin`.
     Begun(Stream, BeginReply),
-    /// To an entry: what the ledger has recorded.
+    /// To an entry: the reply of the ledger to `settle`.
     Settled(Stream, Reply),
-    /// To an entry: how its attempt ended.
+    /// To an entry: the outcome of its attempt.
     Ended(Stream, Outcome),
-    /// To an entry: what a sidecar says of a permit.
-    Fate(Stream, PermitStatus),
+    /// To an entry: the status of a permit at its sidecar.
+    PermitStatus(Stream, PermitStatus),
 }
 
-/// Callers, entries, a ledger and sidecars.
+/// Simulated callers, entries, ledger and sidecars.
 pub struct CallWorld {
     pub(super) promise: Promise,
     pub(super) mutated: bool,
@@ -91,14 +92,14 @@
     pub(super) ledger: Ledger<MemoryHistory>,
     pub(super) index: LogIndex,
     pub(super) sidecars: Vec<Sidecar>,
-    pub(super) wire: Vec<(Time, Message)>,
+    pub(super) in_flight: Vec<(Time, Message)>,
     pub(super) requests: IndexMap<u64, Request>,
     pub(super) next_request: u64,
     pub(super) calls: Vec<Call>,
-    /// Programs under way, with the slots of their calls.
+    /// Open programs, with the indices of their calls.
     pub(super) programs: IndexMap<ProgramId, Vec<usize>>,
     pub(super) next_root: u64,
-    pub(super) truth: Truth,
+    pub(super) ground_truth: GroundTruth,
 }
 
 impl Trial for CallWorld {
@@ -107,103 +108,106 @@
             promise,
             mutated: decisions == Decisions::Mutated,
             now: Time::from_millis(1),
-            ledger: Ledger::new(GroupId(1), limits(promise, decisions)),
+            ledger: Ledger::new(GroupId(1), ledger_limits(promise, decisions)),
             index: LogIndex(0),
             sidecars: (0..SIDECARS).map(Sidecar::new).collect(),
-            wire: Vec::new(),
+            in_flight: Vec::new(),
             requests: IndexMap::new(),
             next_request: 0,
             calls: Vec::new(),
             programs: IndexMap::new(),
             next_root: 0,
-            truth: Truth::default(),
+            ground_truth: GroundTruth::default(),
         }
     }
 
     fn step(&mut self, rng: &mut ChaCha8Rng, score: &mut Score) {
         self.now = self.now + Duration::from_millis(1 + rng.next_u64() % 40);
-        self.callers(rng);
-        self.faults(rng, score);
-        self.turn(rng, score);
+        self.run_callers(rng);
+        self.inject_faults(rng, score);
+        self.process_due(rng, score);
     }
 
     fn settle(&mut self, rng: &mut ChaCha8Rng, score: &mut Score) {
-        // Nothing new; all that is frozen thaws, all that is late arrives.
+        // Without new calls or faults, every freeze ends and every delayed
+        // message arrives.
         for _ in 0..2_000 {
             self.now = self.now + Duration::from_millis(50);
-            self.turn(rng, score);
+            self.process_due(rng, score);
         }
         self.ledger.assert_invariants();
-        self.test_histories(score);
+        self.check_histories(score);
     }
 }
 
 impl CallWorld {
-    /// Lets messages arrive, upstreams finish and requests go on.
-    pub(super) fn turn(&mut self, rng: &mut ChaCha8Rng, score: &mut Score) {
+    /// Completes due attempts, refuses unconfirmed calls, delivers messages and
+    /// advances requests.
+    pub(super) fn process_due(&mut self, rng: &mut ChaCha8Rng, score: &mut Score) {
         self.finish_attempts(rng, score);
         self.refuse_unconfirmed(rng);
         self.deliver_due(rng, score);
         let ids: Vec<u64> = self.requests.keys().copied().collect();
         for id in ids {
-            self.go_on(id, rng, score);
+            self.advance_request(id, rng, score);
         }
     }
 
-    /// Counts a test of `promise` if it is the one of this run.
-    pub(super) fn test(
+    /// Counts a check of `promise` if this run checks that promise.
+    pub(super) fn check(
         &self,
         promise: Promise,
         score: &mut Score,
         held: bool,
-        what: impl FnOnce() -> String,
+        describe: impl FnOnce() -> String,
     ) {
         if self.promise == promise {
-            score.test(held, || {
-                format!("at {} ms: {}", self.now.as_millis(), what())
+            score.check(held, || {
+                format!("at {} ms: {}", self.now.as_millis(), describe())
             });
         }
     }
 
-    /// Whether the decision that carries `promise` is wrong on purpose.
-    pub(super) fn wrong(&self, promise: Promise) -> bool {
+    /// Returns whether the decision behind `promise` is deliberately wrong.
+    pub(super) fn is_mutated(&self, promise: Promise) -> bool {
         self.mutated && self.promise == promise
     }
 }
 
-/// Bounds of the ledger; wrong ones let a later call start while one whose
-/// outcome is unknown may still start.
-fn limits(promise: Promise, decisions: Decisions) -> LedgerLimits {
-    let wrong = promise == Promise::Order && decisions == Decisions::Mutated;
+/// Returns the limits of the ledger; the mutated limits let a later call start
+/// while an earlier call with an unknown outcome may still start.
+fn ledger_limits(promise: Promise, decisions: Decisions) -> LedgerLimits {
+    let mutated = promise == Promise::Order && decisions == Decisions::Mutated;
     let limits = LedgerLimits::default();
     LedgerLimits {
-        start_limit_ms: if wrong { 0 } else { limits.start_limit_ms },
+        start_limit_ms: if mutated { 0 } else { limits.start_limit_ms },
         ..limits
     }
 }
 
-/// The account of every caller here.
+/// Returns the account of all callers.
 pub(super) fn account() -> AccountId {
     AccountId(1)
 }
 
-/// Key of the call in a slot.
+/// Returns the key of the call at index `slot`.
 pub(super) fn key_of(slot: usize) -> RequestKey {
-    // Distinct in the upper half too, which the ledger keeps fingerprints of.
+    // Keys also differ in the upper half, of which the ledger keeps
+    // fingerprints.
     RequestKey((slot as u128 + 1) << 64 | slot as u128)
 }
 
-/// Slot of the call with a key.
+/// Returns the index of the call with a key.
 pub(super) fn call_of(key: RequestKey) -> Option<usize> {
     usize::try_from(key.0 & u128::from(u64::MAX)).ok()
 }
 
-/// The answer of the attempt that a log entry gave leave for.
+/// Returns the answer of the attempt whose permit has this log index.
 pub(super) fn answer_of(index: LogIndex) -> Box<[u8]> {
     index.0.to_le_bytes().into()
 }
 
-/// How long something stands still.
-pub(super) fn freeze(rng: &mut ChaCha8Rng) -> Duration {
-    Duration::from_millis(draw(rng, LONGEST_FREEZE_MS))
+/// Returns a random duration of a freeze.
+pub(super) fn draw_freeze(rng: &mut ChaCha8Rng) -> Duration {
+    Duration::from_millis(draw(rng, MAX_FREEZE_MS))
 }
--- a/crates/quay_experiment/src/faults/configuration.rs
+++ b/crates/quay_experiment/src/faults/configuration.rs
@@ -1,9 +1,10 @@
-//! Configuration: in force everywhere within seconds, and never reverting.
+//! Trial for the configuration: a change is in force on every daemon within
+//! seconds and never reverts.
 
 use {
     crate::faults::{
         Decisions, Promise, Score, Trial,
-        chance::{chance, draw, draw_ms, draw_slot},
+        random::{chance, draw, draw_ms, draw_slot},
     },
     quay_config::{
         Action, ChangeId, ConfigAnswer, ConfigCommand, ConfigQuery, ConfigReply, ConfigStore,
@@ -15,39 +16,39 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// The document of a new group.
+/// Initial configuration document of the control group.
 const DOCUMENT: &str = "[platform.owners]\nplatform = [\"root\"]\nteam = [\"ada\", \"bruno\"]\n\
     [platform.models.m]\n\n[team.accounts.shop]\n\
     key_sha256 = \"2cf24dba5fb0a30e26e83b2ac5b9e29e1b161e5c1fa7425e73043362938b9824\"\nweight = 1\n";
 
-/// The section that the operators race for.
+/// Section that the operators change concurrently.
 const SECTION: &str = "team";
 
-/// Replicas of the control group.
+/// Number of replicas of the control group.
 const REPLICAS: usize = 3;
 
-/// Daemons that follow it.
+/// Number of daemons that poll the control group.
 const DAEMONS: usize = 5;
 
-/// Interval of a daemon's polls.
-const POLL_EVERY: Duration = Duration::from_secs(1);
+/// Interval between configuration polls of a daemon.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A change must be in force everywhere within this.
+/// Time within which a change must be in force on every reachable daemon.
 const SPREAD_LIMIT: Duration = Duration::from_secs(6);
 
-/// A daemon and what it holds.
+/// A daemon and the configuration that it holds.
 struct Daemon {
     subscriber: Subscriber,
-    /// Greatest index that was in force in any run of it.
+    /// Highest index that was in force on this daemon, across restarts.
     highest: ConfigIndex,
     next_poll: Time,
-    /// It reaches no replica until then.
-    cut_until: Time,
-    /// Since when it has reached the leader.
-    whole_since: Time,
+    /// Time until which the daemon cannot reach any replica.
+    unreachable_until: Time,
+    /// Time since which the daemon can reach the leader.
+    reachable_since: Time,
 }
 
-/// An update on its way to a daemon.
+/// An update in flight to a daemon.
 struct Packet {
     due: Time,
     daemon: usize,
@@ -56,25 +57,27 @@
     confirmed: bool,
 }
 
-/// A control group, racing operators and daemons behind bad links.
+/// A control group, operators with concurrent changes, and daemons behind
+/// unreliable links.
 pub struct ConfigurationWorld {
     now: Time,
     mutated: bool,
-    /// Committed orders, in order; replicas have applied a part of them.
+    /// Committed commands, in log order; a replica may have applied only a
+    /// prefix.
     log: Vec<ConfigCommand>,
     replicas: Vec<(ConfigStore, usize)>,
-    /// The replica that leads; the others lag behind.
+    /// Index of the leader; followers may lag behind.
     leader: usize,
     daemons: Vec<Daemon>,
-    /// Runs of the daemons: packets for an earlier run are lost.
+    /// Restart counter of each daemon; packets for an earlier run are dropped.
     runs: Vec<u64>,
-    wire: Vec<Packet>,
-    /// First answers by change.
+    in_flight: Vec<Packet>,
+    /// Each change with its first reply, by change number.
     answers: BTreeMap<u64, (ConfigCommand, ConfigReply)>,
     next_change: u64,
-    /// Content of each index, by the first daemon that had it in force.
-    contents: BTreeMap<ConfigIndex, ContentDigest>,
-    /// Last index that was accepted, and when.
+    /// Content digest of each index, as first seen on any daemon.
+    digests: BTreeMap<ConfigIndex, ContentDigest>,
+    /// Last accepted index and the time of its acceptance.
     accepted: (ConfigIndex, Time),
 }
 
@@ -84,8 +87,8 @@
             subscriber: Subscriber::default(),
             highest: ConfigIndex(0),
             next_poll: Time::ZERO,
-            cut_until: Time::ZERO,
-            whole_since: Time::ZERO,
+            unreachable_until: Time::ZERO,
+            reachable_since: Time::ZERO,
         };
         let mut world = Self {
             now: Time::from_millis(1),
@@ -95,42 +98,42 @@
             leader: 0,
             daemons: (0..DAEMONS).map(|_| daemon()).collect(),
             runs: vec![0; DAEMONS],
-            wire: Vec::new(),
+            in_flight: Vec::new(),
             answers: BTreeMap::new(),
             next_change: 0,
-            contents: BTreeMap::new(),
+            digests: BTreeMap::new(),
             accepted: (ConfigIndex(0), Time::ZERO),
         };
-        let found = world.order(
+        let bootstrap = world.new_command(
             "ledger-1",
             Origin::Process,
             Action::Bootstrap(DOCUMENT.into()),
         );
-        let _ = world.commit(found);
+        let _ = world.commit(bootstrap);
         world
     }
 
     fn step(&mut self, rng: &mut ChaCha8Rng, score: &mut Score) {
         self.now = self.now + draw_ms(rng, 100);
         if chance(rng, 100) {
-            self.operators(rng, score);
+            self.submit_changes(rng, score);
         }
-        self.faults(rng, score);
-        self.turn(rng, score);
+        self.inject_faults(rng, score);
+        self.process_due(rng, score);
     }
 
     fn settle(&mut self, rng: &mut ChaCha8Rng, score: &mut Score) {
         for daemon in &mut self.daemons {
-            daemon.cut_until = Time::ZERO;
+            daemon.unreachable_until = Time::ZERO;
         }
         for _ in 0..SPREAD_LIMIT.as_millis() / 50 {
             self.now = self.now + Duration::from_millis(50);
-            self.turn(rng, score);
+            self.process_due(rng, score);
         }
         let want = self.accepted.0;
         for daemon in &self.daemons {
             let has = daemon.subscriber.image().index;
-            score.test(has == want, || {
+            score.check(has == want, || {
                 format!("{has} is in force on a daemon after healing, not {want}")
             });
         }
@@ -138,8 +141,9 @@
 }
 
 impl ConfigurationWorld {
-    /// Lets replicas apply, daemons poll and updates arrive.
-    fn turn(&mut self, rng: &mut ChaCha8Rng, score: &mut Score) {
+    /// Applies commands on replicas, polls for the daemons and delivers due
+    /// updates.
+    fn process_due(&mut self, rng: &mut ChaCha8Rng, score: &mut Score) {
         for (store, applied) in &mut self.replicas {
             if *applied < self.log.len() && chance(rng, 50) {
                 let _ = apply_next(&self.log, store, applied);
@@ -150,20 +154,20 @@
         }
         let now = self.now;
         let due: Vec<_> = self
-            .wire
+            .in_flight
             .extract_if(.., |packet| packet.due <= now)
             .collect();
         for packet in due {
             self.receive(packet, score);
         }
-        self.test_spread(score);
+        self.check_spread(score);
     }
 
     // -----------------------------------------------------------------------
     // Operators
 
-    /// An order with a new id.
-    fn order(&mut self, author: &str, origin: Origin, action: Action) -> ConfigCommand {
+    /// Creates a command with a new change id.
+    fn new_command(&mut self, author: &str, origin: Origin, action: Action) -> ConfigCommand {
         self.next_change += 1;
         ConfigCommand {
             id: ChangeId(self.next_change.to_string().into()),
@@ -175,9 +179,10 @@
         }
     }
 
-    /// Commits an order; the leader has applied everything before it.
-    fn commit(&mut self, order: ConfigCommand) -> ConfigReply {
-        self.log.push(order);
+    /// Commits a command; the leader applies every command up to and including
+    /// it.
+    fn commit(&mut self, command: ConfigCommand) -> ConfigReply {
+        self.log.push(command);
         let (store, applied) = &mut self.replicas[self.leader];
         let mut reply = Err(quay_config::Refusal::NoDocument);
         while *applied < self.log.len() {
@@ -191,10 +196,11 @@
         reply
     }
 
-    /// Operators race from the same base, and send a change again.
-    fn operators(&mut self, rng: &mut ChaCha8Rng, score: &mut Score) {
+    /// Submits concurrent changes from the same base revision, or resends an
+    /// earlier change.
+    fn submit_changes(&mut self, rng: &mut ChaCha8Rng, score: &mut Score) {
         if chance(rng, 300) && !self.answers.is_empty() {
-            self.send_again(rng, score);
+            self.resend(rng, score);
             return;
         }
         let section = &self.replicas[self.leader].0.image().sections[SECTION];
@@ -214,46 +220,47 @@
                 base,
                 text: text.into(),
             };
-            let order = self.order(author, Origin::Operator, action);
+            let command = self.new_command(author, Origin::Operator, action);
             let number = self.next_change;
-            let reply = self.commit(order.clone());
+            let reply = self.commit(command.clone());
             accepted += u64::from(reply.is_ok());
-            self.answers.insert(number, (order, reply));
+            self.answers.insert(number, (command, reply));
         }
-        score.test(accepted <= 1, || {
+        score.check(accepted <= 1, || {
             "two changes from one base were accepted".into()
         });
     }
 
-    /// An operator who lost an answer sends the change again.
-    fn send_again(&mut self, rng: &mut ChaCha8Rng, score: &mut Score) {
+    /// Resends a change, as an operator does when the reply was lost.
+    fn resend(&mut self, rng: &mut ChaCha8Rng, score: &mut Score) {
         let slot = draw_slot(rng, self.answers.len());
-        let Some((order, first)) = self.answers.values().nth(slot).cloned() else {
+        let Some((command, first)) = self.answers.values().nth(slot).cloned() else {
             return;
         };
         let before = self.accepted.0;
-        let reply = self.commit(order);
+        let reply = self.commit(command);
         let same = reply == first && self.accepted.0 == before;
-        score.test(same, || format!("a resend got {reply:?} after {first:?}"));
+        score.check(same, || format!("a resend got {reply:?} after {first:?}"));
     }
 
     // -----------------------------------------------------------------------
     // Daemons
 
-    /// A daemon polls some replica if it is time.
+    /// Polls a replica for a daemon if its poll is due.
     fn poll(&mut self, slot: usize, rng: &mut ChaCha8Rng) {
         let daemon = &mut self.daemons[slot];
         if self.now < daemon.next_poll {
             return;
         }
-        daemon.next_poll = self.now + POLL_EVERY;
-        if self.now < daemon.cut_until {
-            daemon.whole_since = daemon.cut_until;
+        daemon.next_poll = self.now + POLL_INTERVAL;
+        if self.now < daemon.unreachable_until {
+            daemon.reachable_since = daemon.unreachable_until;
             daemon.subscriber.record_no_answer("cut");
             return;
         }
         let poll = daemon.subscriber.poll();
-        // Mostly the leader; now and then a replica that lags, or that leads no more.
+        // Usually asks the leader; sometimes a lagging replica or a former
+        // leader.
         let asked = if chance(rng, 200) {
             draw_slot(rng, REPLICAS)
         } else {
@@ -261,14 +268,14 @@
         };
         let confirmed = asked == self.leader;
         let update = self.update(asked, poll);
-        let late = if chance(rng, 50) {
+        let delay = if chance(rng, 50) {
             draw_ms(rng, 4_000)
         } else {
             draw_ms(rng, 40)
         };
         let run = self.runs[slot];
-        self.wire.push(Packet {
-            due: self.now + late,
+        self.in_flight.push(Packet {
+            due: self.now + delay,
             daemon: slot,
             run,
             update,
@@ -276,7 +283,7 @@
         });
     }
 
-    /// What a replica answers to a poll.
+    /// Returns the answer of a replica to a poll.
     fn update(&self, replica: usize, poll: Poll) -> Update {
         match self.replicas[replica].0.query(&ConfigQuery::Poll(poll)) {
             ConfigAnswer::Update(update) => update,
@@ -284,14 +291,15 @@
         }
     }
 
-    /// A daemon takes an update.
+    /// Delivers an update to a daemon and checks its index and content.
     fn receive(&mut self, packet: Packet, score: &mut Score) {
         if packet.run != self.runs[packet.daemon] {
             return;
         }
         let daemon = &mut self.daemons[packet.daemon];
         if self.mutated {
-            // Takes whatever comes for current, as if it had just started.
+            // Treats every update as current, as if the daemon had just
+            // started.
             daemon.subscriber = Subscriber::default();
         }
         daemon
@@ -305,28 +313,31 @@
             return;
         }
         let highest = daemon.highest;
-        score.test(index >= highest, || {
+        score.check(index >= highest, || {
             format!("a daemon went from {highest} back to {index}")
         });
         daemon.highest = highest.max(index);
-        let known = *self.contents.entry(index).or_insert(digest);
-        score.test(known == digest, || {
+        let known = *self.digests.entry(index).or_insert(digest);
+        score.check(known == digest, || {
             format!("index {index} has two contents")
         });
     }
 
-    /// Daemons that were not cut off have what was accepted long enough ago.
-    fn test_spread(&mut self, score: &mut Score) {
+    /// Checks that every daemon reachable for at least `SPREAD_LIMIT` has the
+    /// index that was accepted at least that long ago.
+    fn check_spread(&mut self, score: &mut Score) {
         let (index, since) = self.accepted;
         if self.now.since(since) < SPREAD_LIMIT {
             return;
         }
         for daemon in &self.daemons {
-            if self.now.since(daemon.whole_since) < SPREAD_LIMIT || self.now < daemon.cut_until {
+            if self.now.since(daemon.reachable_since) < SPREAD_LIMIT
+                || self.now < daemon.unreachable_until
+            {
                 continue;
             }
             let has = daemon.subscriber.image().index;
-            score.test(has >= index, || {
+            score.check(has >= index, || {
                 format!("{has} is in force after the limit, not {index}")
             });
         }
@@ -335,29 +346,30 @@
     // -----------------------------------------------------------------------
     // Faults
 
-    /// Cuts, restarts and a new leader, now and then together.
-    fn faults(&mut self, rng: &mut ChaCha8Rng, score: &mut Score) {
+    /// Injects partitions, daemon restarts and leader changes, sometimes
+    /// several in one step.
+    fn inject_faults(&mut self, rng: &mut ChaCha8Rng, score: &mut Score) {
         while chance(rng, 10) {
-            score.fault();
+            score.record_fault();
             let slot = draw_slot(rng, DAEMONS);
             match draw(rng, 3) {
-                0 => self.daemons[slot].cut_until = self.now + draw_ms(rng, 60_000),
+                0 => self.daemons[slot].unreachable_until = self.now + draw_ms(rng, 60_000),
                 1 => self.restart(slot),
-                _ => self.lead(rng),
+                _ => self.change_leader(rng),
             }
         }
     }
 
-    /// A daemon starts afresh, with nothing.
+    /// Restarts a daemon without any stored configuration.
     fn restart(&mut self, slot: usize) {
         self.runs[slot] += 1;
         self.daemons[slot].subscriber = Subscriber::default();
         self.daemons[slot].next_poll = self.now;
-        self.daemons[slot].whole_since = self.now;
+        self.daemons[slot].reachable_since = self.now;
     }
 
-    /// Another replica leads; it has all that was committed.
-    fn lead(&mut self, rng: &mut ChaCha8Rng) {
+    /// Makes a random replica the leader, with every committed command applied.
+    fn change_leader(&mut self, rng: &mut ChaCha8Rng) {
         self.leader = draw_slot(rng, REPLICAS);
         let (store, applied) = &mut self.replicas[self.leader];
         while *applied < self.log.len() {
@@ -366,9 +378,9 @@
     }
 }
 
-/// Applies the next committed order to a replica.
+/// Applies the next committed command to a replica.
 fn apply_next(log: &[ConfigCommand], store: &mut ConfigStore, applied: &mut usize) -> ConfigReply {
-    let order = log[*applied].clone();
+    let command = log[*applied].clone();
     *applied += 1;
-    store.apply(LogIndex(*applied as u64), Epoch(1), order)
+    store.apply(LogIndex(*applied as u64), Epoch(1), command)
 }
--- a/crates/quay_experiment/src/faults/history.rs
+++ b/crates/quay_experiment/src/faults/history.rs
@@ -1,4 +1,5 @@
-//! Histories: replicas lose no commit, and programs do not mix.
+//! Trial for histories: replicas lose no commit, and the histories of programs
+//! are kept apart.
 
 use {
     crate::faults::{CallWorld, Decisions, Promise, Score, Trial},
@@ -10,16 +11,18 @@
     rand_chacha::ChaCha8Rng,
 };
 
-/// Replicas of a group beside a ledger's calls.
+/// A simulated replica group and, independently, a simulation of ledger calls.
 ///
-/// The group's judge names a lost, changed or reordered commit and a stale
-/// read; the calls tell whether each answer is in its own program's history.
+/// The replica checker detects lost, changed or reordered commits and stale
+/// reads; the call simulation checks that each answer is in the history of its
+/// own program.
 pub struct HistoryWorld {
     calls: CallWorld,
     replicas: Simulation,
-    /// What the replicas were put to so far.
+    /// Counters of the replica simulation after the previous step.
     report: Report,
-    /// Whether a rule of the replicas is broken; they stop then.
+    /// Whether the checker found a violation; the replica simulation stops
+    /// then.
     broken: bool,
 }
 
@@ -49,12 +52,12 @@
         }
         if let Err(violation) = self.replicas.run(1) {
             self.broken = true;
-            score.test(false, || format!("replicas: {violation:?}"));
+            score.check(false, || format!("replicas: {violation:?}"));
             return;
         }
         let report = self.replicas.report();
-        score.faults += faults(&report) - faults(&self.report);
-        score.tested += tests(&report) - tests(&self.report);
+        score.faults += fault_count(&report) - fault_count(&self.report);
+        score.tested += check_count(&report) - check_count(&self.report);
         self.report = report;
     }
 
@@ -63,12 +66,13 @@
     }
 }
 
-/// Faults of the replicas so far.
-const fn faults(report: &Report) -> u64 {
+/// Number of faults injected into the replicas so far.
+const fn fault_count(report: &Report) -> u64 {
     report.crashes + report.partitions + report.pauses + report.lost_disks
 }
 
-/// Answers and reads, each of which the judge holds against what was committed.
-const fn tests(report: &Report) -> u64 {
+/// Number of acknowledged commands and reads, each of which the checker
+/// compares with the committed log.
+const fn check_count(report: &Report) -> u64 {
     report.acknowledged + report.reads
 }
--- a/crates/quay_experiment/src/faults/mod.rs
+++ b/crates/quay_experiment/src/faults/mod.rs
@@ -1,15 +1,15 @@
-//! Long seeded runs that attack each of the ten promises.
+//! Seeded fault-injection runs that test each of the ten promises.
 //!
-//! A trial drives the smallest set of real state machines that carries a
-//! promise, with faults at any moment, and counts how often the promise was put
-//! to the test and how often it broke.
+//! A trial drives the smallest set of real state machines that implements a
+//! promise, injects faults at random steps, and counts how often the promise
+//! was checked and how often it was violated.
 
 mod calls;
-mod chance;
 mod configuration;
 mod history;
 mod leaving;
 mod promise;
+mod random;
 mod release;
 mod report;
 mod run;
--- a/crates/quay_experiment/src/faults/promise.rs
+++ b/crates/quay_experiment/src/faults/promise.rs
@@ -1,30 +1,31 @@
-//! The ten promises.
+//! The ten promises that the fault trials check.
 
 use {serde::Serialize, std::fmt};
 
-/// What must hold under every fault.
+/// A guarantee that must hold under every fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Promise {
-    /// Calls of one program run in the order that the program made them.
+    /// Calls of one program run in the order in which the program made them.
     Order,
-    /// A program's history is neither lost nor mixed with another's.
+    /// A program's history is neither lost nor mixed with another program's.
     History,
     /// A program's budget is not exceeded.
     Budget,
-    /// An upstream's memory is released once its program has ended.
+    /// Upstream memory held for a program is released after the program ends.
     Release,
-    /// Each caller receives its own answer whole.
+    /// Each caller receives the complete answer to its own call.
     WholeAnswer,
-    /// An answer "not run" is true.
+    /// A call reported as "not run" has not run and never will.
     NotRun,
     /// A call that is not idempotent runs at most once.
     AtMostOnce,
-    /// A leaving upstream receives no new work after a few seconds.
+    /// A draining upstream receives no new work after a few seconds.
     Leaving,
-    /// A graceful shutdown cuts off no call in progress.
+    /// A graceful shutdown interrupts no call in progress.
     Shutdown,
-    /// An accepted configuration is soon in force everywhere and never reverts.
+    /// An accepted configuration is in force on every daemon within seconds and
+    /// is never replaced by an older one.
     Configuration,
 }
 
--- a/crates/quay_experiment/src/faults/release.rs
+++ b/crates/quay_experiment/src/faults/release.rs
@@ -1,9 +1,10 @@
-//! Engine memory: what a program held is released once it has ended.
+//! Trial for upstream memory: blocks and exported copies of a program are
+//! released after it has ended.
 
 use {
     crate::faults::{
         Decisions, Promise, Score, Trial,
-        chance::{chance, draw, draw_ms, draw_slot},
+        random::{chance, draw, draw_ms, draw_slot},
     },
     indexmap::IndexMap,
     quay_ledger::{Answer, Command, Ledger, LedgerLimits, MemoryHistory, Op, Query, Reply},
@@ -16,39 +17,40 @@
     std::time::Duration,
 };
 
-/// Programs under way at a time.
+/// Maximum number of open programs.
 const PROGRAMS: usize = 12;
 
-/// Memory of an ended program is released within this, while the ledger answers.
+/// Time within which the memory of an ended program must be released while the
+/// ledger can be reached.
 const RELEASE_LIMIT: Duration = Duration::from_secs(40);
 
-/// What the upstream holds for a program.
+/// Upstream memory and running calls of a program.
 #[derive(Debug, Default)]
-struct Held {
-    /// Calls that run.
+struct ProgramMemory {
+    /// End times of the running calls.
     running: Vec<Time>,
-    /// Whether blocks are held in the upstream.
+    /// Whether the upstream holds blocks of the program.
     blocks: bool,
-    /// Whether a copy was exported.
+    /// Whether an exported copy exists.
     exported: bool,
 }
 
-/// A ledger, a sidecar's retention and an upstream's memory.
+/// A ledger, the retention policy of a sidecar, and the memory of an upstream.
 pub struct ReleaseWorld {
     now: Time,
     ledger: Ledger<MemoryHistory>,
     index: u64,
     retention: Retention,
-    upstream: IndexMap<ProgramId, Held>,
-    /// Programs under way.
+    upstream: IndexMap<ProgramId, ProgramMemory>,
+    /// Open programs.
     open: Vec<ProgramId>,
-    /// Programs that have ended, since when.
+    /// Ended programs whose release is not yet checked, with their end times.
     ended: IndexMap<ProgramId, Time>,
     next_root: u64,
-    /// The sidecar does not reach the ledger until then.
-    cut_until: Time,
-    /// Since when it does.
-    whole_since: Time,
+    /// Time until which the sidecar cannot reach the ledger.
+    unreachable_until: Time,
+    /// Time since which the sidecar can reach the ledger.
+    reachable_since: Time,
 }
 
 impl Trial for ReleaseWorld {
@@ -68,53 +70,53 @@
             open: Vec::new(),
             ended: IndexMap::new(),
             next_root: 0,
-            cut_until: Time::ZERO,
-            whole_since: Time::ZERO,
+            unreachable_until: Time::ZERO,
+            reachable_since: Time::ZERO,
         }
     }
 
     fn step(&mut self, rng: &mut ChaCha8Rng, score: &mut Score) {
         self.now = self.now + draw_ms(rng, 200);
         if self.open.len() < PROGRAMS && chance(rng, 200) {
-            self.create();
+            self.create_program();
         }
         if !self.open.is_empty() {
             let slot = draw_slot(rng, self.open.len());
             match draw(rng, 20) {
-                0 => self.end(slot, rng),
-                1..=6 => self.call(slot, rng),
+                0 => self.end_program(slot, rng),
+                1..=6 => self.start_call(slot, rng),
                 _ => {}
             }
         }
         if chance(rng, 5) {
-            score.fault();
-            self.cut_until = self.now + draw_ms(rng, 60_000);
+            score.record_fault();
+            self.unreachable_until = self.now + draw_ms(rng, 60_000);
         }
-        self.turn(score);
+        self.process_due(score);
     }
 
     fn settle(&mut self, rng: &mut ChaCha8Rng, score: &mut Score) {
-        self.cut_until = Time::ZERO;
+        self.unreachable_until = Time::ZERO;
         while !self.open.is_empty() {
-            self.end(0, rng);
+            self.end_program(0, rng);
         }
         for _ in 0..600 {
             self.now = self.now + Duration::from_millis(200);
-            self.turn(score);
+            self.process_due(score);
         }
         let held = self
             .upstream
             .values()
-            .filter(|held| held.blocks || held.exported)
+            .filter(|memory| memory.blocks || memory.exported)
             .count();
-        score.test(held == 0, || {
+        score.check(held == 0, || {
             format!("memory of {held} ended programs is still held")
         });
     }
 }
 
 impl ReleaseWorld {
-    /// Commits a command.
+    /// Applies a command to the ledger.
     fn apply(&mut self, op: Op) -> Reply {
         self.index += 1;
         let command = Command {
@@ -124,8 +126,8 @@
         self.ledger.apply(LogIndex(self.index), Epoch(1), command)
     }
 
-    /// A program starts.
-    fn create(&mut self) {
+    /// Creates a program.
+    fn create_program(&mut self) {
         self.next_root += 1;
         let program = ProgramId::root(self.next_root);
         self.apply(Op::Create(NewProgram {
@@ -138,75 +140,76 @@
         self.open.push(program);
     }
 
-    /// A program ends; the notice to the sidecar may get lost.
-    fn end(&mut self, slot: usize, rng: &mut ChaCha8Rng) {
+    /// Ends a program; the notification to the sidecar may be lost.
+    fn end_program(&mut self, slot: usize, rng: &mut ChaCha8Rng) {
         let program = self.open.swap_remove(slot);
         self.apply(Op::End(program, AccountId(1)));
         self.ended.insert(program, self.now);
-        if self.now >= self.cut_until && chance(rng, 500) {
+        if self.now >= self.unreachable_until && chance(rng, 500) {
             let action = self.retention.program_ended(program);
-            self.act(action);
+            self.run_actions(action);
         }
     }
 
-    /// A call of a program starts on the upstream.
-    fn call(&mut self, slot: usize, rng: &mut ChaCha8Rng) {
+    /// Starts a call of a program on the upstream.
+    fn start_call(&mut self, slot: usize, rng: &mut ChaCha8Rng) {
         let program = self.open[slot];
         let actions = self.retention.call_started(self.now, program);
-        self.act(actions);
+        self.run_actions(actions);
         let ends = self.now + draw_ms(rng, 5_000);
-        let held = self.upstream.entry(program).or_default();
-        held.running.push(ends);
-        held.blocks = true;
+        let memory = self.upstream.entry(program).or_default();
+        memory.running.push(ends);
+        memory.blocks = true;
     }
 
-    /// Lets calls finish and the sidecar do what is due.
-    fn turn(&mut self, score: &mut Score) {
+    /// Completes finished calls, runs the due retention actions and checks the
+    /// promise.
+    fn process_due(&mut self, score: &mut Score) {
         let now = self.now;
         let mut finished = Vec::new();
-        for (program, held) in &mut self.upstream {
-            let done = held.running.extract_if(.., |ends| *ends <= now).count();
+        for (program, memory) in &mut self.upstream {
+            let done = memory.running.extract_if(.., |ends| *ends <= now).count();
             finished.extend(std::iter::repeat_n(*program, done));
         }
         for program in finished {
             // A finished call leaves its blocks in the upstream's cache.
             self.upstream.entry(program).or_default().blocks = true;
             let action = self.retention.call_ended(now, program);
-            self.act(action);
+            self.run_actions(action);
         }
         let actions = self.retention.tick(now);
-        self.act(actions);
-        self.test_release(score);
+        self.run_actions(actions);
+        self.check_release(score);
     }
 
-    /// Does what the retention asks for.
-    fn act(&mut self, actions: impl IntoIterator<Item = RetentionAction>) {
+    /// Executes the actions requested by the retention policy.
+    fn run_actions(&mut self, actions: impl IntoIterator<Item = RetentionAction>) {
         for action in actions {
             match action {
                 RetentionAction::Export(program) => {
-                    let held = self.upstream.entry(program).or_default();
-                    held.exported = held.blocks;
-                    held.blocks = !held.running.is_empty();
+                    let memory = self.upstream.entry(program).or_default();
+                    memory.exported = memory.blocks;
+                    memory.blocks = !memory.running.is_empty();
                 }
                 RetentionAction::Import(program) => {
-                    let held = self.upstream.entry(program).or_default();
-                    held.blocks |= std::mem::take(&mut held.exported);
+                    let memory = self.upstream.entry(program).or_default();
+                    memory.blocks |= std::mem::take(&mut memory.exported);
                 }
                 RetentionAction::Release(program) => {
-                    if let Some(held) = self.upstream.get_mut(&program) {
-                        held.blocks = !held.running.is_empty();
-                        held.exported = false;
+                    if let Some(memory) = self.upstream.get_mut(&program) {
+                        memory.blocks = !memory.running.is_empty();
+                        memory.exported = false;
                     }
                 }
-                RetentionAction::QueryEnded(programs) => self.sweep(programs),
+                RetentionAction::QueryEnded(programs) => self.query_ended(programs),
             }
         }
     }
 
-    /// Asks the ledger which programs have ended, if it can be reached.
-    fn sweep(&mut self, programs: Box<[ProgramId]>) {
-        if self.now < self.cut_until {
-            self.whole_since = self.cut_until;
+    /// Queries the ledger for ended programs, if it can be reached.
+    fn query_ended(&mut self, programs: Box<[ProgramId]>) {
+        if self.now < self.unreachable_until {
+            self.reachable_since = self.unreachable_until;
             return;
         }
         let Answer::Ended(ended) = self.ledger.query(&Query::Ended(programs)) else {
@@ -214,13 +217,15 @@
         };
         for program in ended {
             let action = self.retention.program_ended(program);
-            self.act(action);
+            self.run_actions(action);
         }
     }
 
-    /// Nothing is held for a program that ended long enough ago.
-    fn test_release(&mut self, score: &mut Score) {
-        if self.now < self.cut_until || self.now.since(self.whole_since) < RELEASE_LIMIT {
+    /// Checks that nothing is held for a program that ended at least
+    /// `RELEASE_LIMIT` ago.
+    fn check_release(&mut self, score: &mut Score) {
+        if self.now < self.unreachable_until || self.now.since(self.reachable_since) < RELEASE_LIMIT
+        {
             return;
         }
         let now = self.now;
@@ -235,8 +240,8 @@
             let held = self
                 .upstream
                 .get(&program)
-                .is_some_and(|held| held.blocks || held.exported);
-            score.test(!held, || {
+                .is_some_and(|memory| memory.blocks || memory.exported);
+            score.check(!held, || {
                 format!("memory of {program} is held after the limit")
             });
             self.ended.swap_remove(&program);
--- a/crates/quay_experiment/src/faults/report.rs
+++ b/crates/quay_experiment/src/faults/report.rs
@@ -1,21 +1,21 @@
-//! What a run of trials found.
+//! Results of a run of trials.
 
 use {crate::faults::Promise, serde::Serialize, std::fmt};
 
-/// Result of the trials of one promise.
+/// Result of the trials for one promise.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct PromiseReport {
     /// The promise.
     pub promise: Promise,
-    /// Steps taken.
+    /// Number of steps taken.
     pub steps: u64,
-    /// Faults brought about.
+    /// Number of faults injected.
     pub faults: u64,
-    /// How often the promise was put to the test.
+    /// Number of times that the promise was checked.
     pub tested: u64,
-    /// How often it broke.
+    /// Number of checks that failed.
     pub broken: u64,
-    /// What was seen the first time that it broke.
+    /// Description of the first violation.
     pub first: Option<Box<str>>,
 }
 
@@ -24,12 +24,12 @@
 pub struct FaultReport {
     /// Seed of the run.
     pub seed: u64,
-    /// One line for each promise.
+    /// One entry per promise.
     pub promises: Vec<PromiseReport>,
 }
 
 impl FaultReport {
-    /// Whether no promise broke.
+    /// Returns whether no promise was violated.
     #[must_use]
     pub fn held(&self) -> bool {
         self.promises.iter().all(|line| line.broken == 0)
--- a/crates/quay_experiment/src/faults/run.rs
+++ b/crates/quay_experiment/src/faults/run.rs
@@ -1,11 +1,11 @@
-//! Runs the trials of every promise.
+//! Entry points that run the trials.
 
 use crate::faults::{
     CallWorld, ConfigurationWorld, Decisions, FaultReport, HistoryWorld, LeavingWorld, Promise,
     PromiseReport, ReleaseWorld, ShutdownWorld, run_trial,
 };
 
-/// Runs the trial of one promise.
+/// Runs the trial for one promise.
 #[must_use]
 pub fn run_promise(promise: Promise, seed: u64, steps: u64, decisions: Decisions) -> PromiseReport {
     match promise {
@@ -22,7 +22,7 @@
     }
 }
 
-/// Runs the trials of `promises`; the same arguments give the same report.
+/// Runs the trials for `promises`; the same arguments give the same report.
 #[must_use]
 pub fn run_faults(
     promises: &[Promise],
--- a/crates/quay_experiment/src/faults/shutdown.rs
+++ b/crates/quay_experiment/src/faults/shutdown.rs
@@ -1,9 +1,9 @@
-//! Graceful shutdown: what has begun is finished.
+//! Trial for graceful shutdown: calls in progress are completed.
 
 use {
     crate::faults::{
         Decisions, Promise, Score, Trial,
-        chance::{chance, draw, draw_ms, draw_slot},
+        random::{chance, draw, draw_ms, draw_slot},
     },
     quay_types::Time,
     rand_chacha::ChaCha8Rng,
@@ -11,30 +11,31 @@
     std::time::Duration,
 };
 
-/// Processes of each kind.
+/// Number of entries, and of sidecars.
 const PROCESSES: usize = 3;
 
-/// Longest time that a call takes, in milliseconds.
-const LONGEST_CALL_MS: u64 = 3_000;
+/// Maximum duration of a call, in milliseconds.
+const MAX_CALL_MS: u64 = 3_000;
 
-/// A process that can be told to leave.
+/// A process that can be told to drain.
 #[derive(Default)]
 struct Process {
     lifecycle: Lifecycle,
-    /// Whether it has ended.
+    /// Whether the process has exited.
     ended: bool,
 }
 
-/// A call in progress on an entry, and on a sidecar once one has taken it.
+/// A call in progress on an entry and, once a sidecar has accepted it, on that
+/// sidecar.
 struct Call {
     entry: usize,
     sidecar: Option<usize>,
     ends: Time,
-    /// Keep the processes from ending.
-    progress: Vec<InProgressGuard>,
+    /// Guards that keep the entry and the sidecar from exiting.
+    guards: Vec<InProgressGuard>,
 }
 
-/// Entries and sidecars that leave at any moment while calls run.
+/// Entries and sidecars that begin to drain at random steps while calls run.
 pub struct ShutdownWorld {
     now: Time,
     mutated: bool,
@@ -43,8 +44,8 @@
     calls: Vec<Call>,
 }
 
-/// Some processes.
-fn processes() -> Vec<Process> {
+/// Returns `PROCESSES` new processes.
+fn new_processes() -> Vec<Process> {
     (0..PROCESSES).map(|_| Process::default()).collect()
 }
 
@@ -53,8 +54,8 @@
         Self {
             now: Time::ZERO,
             mutated: decisions == Decisions::Mutated,
-            entries: processes(),
-            sidecars: processes(),
+            entries: new_processes(),
+            sidecars: new_processes(),
             calls: Vec::new(),
         }
     }
@@ -62,11 +63,11 @@
     fn step(&mut self, rng: &mut ChaCha8Rng, score: &mut Score) {
         self.now = self.now + Duration::from_millis(10);
         if chance(rng, 300) {
-            self.begin(rng, score);
+            self.begin_call(rng, score);
         }
-        self.offer(rng);
+        self.offer_calls(rng);
         if chance(rng, 30) {
-            score.fault();
+            score.record_fault();
             let slot = draw_slot(rng, PROCESSES);
             let process = if chance(rng, 500) {
                 &self.entries[slot]
@@ -86,9 +87,9 @@
         for process in self.entries.iter().chain(&self.sidecars) {
             process.lifecycle.drain();
         }
-        for _ in 0..LONGEST_CALL_MS / 5 {
+        for _ in 0..MAX_CALL_MS / 5 {
             self.now = self.now + Duration::from_millis(10);
-            self.offer(rng);
+            self.offer_calls(rng);
             let now = self.now;
             self.calls.retain(|call| call.ends > now);
             self.end_idle(score);
@@ -98,41 +99,42 @@
             .iter()
             .chain(&self.sidecars)
             .all(|process| process.ended);
-        score.test(ended, || "a leaving process never ended".into());
+        score.check(ended, || "a leaving process never ended".into());
     }
 }
 
 impl ShutdownWorld {
-    /// A caller sends a call to some entry.
-    fn begin(&mut self, rng: &mut ChaCha8Rng, score: &mut Score) {
+    /// Sends a call to a random entry.
+    fn begin_call(&mut self, rng: &mut ChaCha8Rng, score: &mut Score) {
         let entry = draw_slot(rng, PROCESSES);
         let leaving = self.entries[entry].lifecycle.draining();
         let begun = self.entries[entry].lifecycle.begin();
-        score.test(begun.is_none() == leaving, || {
+        score.check(begun.is_none() == leaving, || {
             "a leaving entry took a call".into()
         });
-        let Some(progress) = begun else { return };
-        let ends = self.now + draw_ms(rng, LONGEST_CALL_MS);
+        let Some(guard) = begun else { return };
+        let ends = self.now + draw_ms(rng, MAX_CALL_MS);
         self.calls.push(Call {
             entry,
             sidecar: None,
             ends,
-            progress: vec![progress],
+            guards: vec![guard],
         });
     }
 
-    /// Entries offer their calls to sidecars; a leaving one refuses.
-    fn offer(&mut self, rng: &mut ChaCha8Rng) {
+    /// Offers calls without a sidecar to random sidecars; a draining sidecar
+    /// refuses.
+    fn offer_calls(&mut self, rng: &mut ChaCha8Rng) {
         for call in self.calls.iter_mut().filter(|call| call.sidecar.is_none()) {
             let slot = draw_slot(rng, PROCESSES);
-            if let Some(progress) = self.sidecars[slot].lifecycle.begin() {
+            if let Some(guard) = self.sidecars[slot].lifecycle.begin() {
                 call.sidecar = Some(slot);
-                call.progress.push(progress);
+                call.guards.push(guard);
             }
         }
     }
 
-    /// Ends the leaving processes that have nothing in progress.
+    /// Ends the draining processes that have no call in progress.
     fn end_idle(&mut self, score: &mut Score) {
         let mutated = self.mutated;
         let idle = |process: &Process| process.lifecycle.in_progress() == 0 || mutated;
@@ -140,7 +142,7 @@
             if process.lifecycle.draining() && !process.ended && idle(process) {
                 process.ended = true;
                 let cut = self.calls.iter().filter(|call| call.entry == slot).count();
-                score.test(cut == 0, || {
+                score.check(cut == 0, || {
                     format!("an entry ended with {cut} calls in progress")
                 });
             }
@@ -153,14 +155,15 @@
                     .iter()
                     .filter(|call| call.sidecar == Some(slot))
                     .count();
-                score.test(cut == 0, || {
+                score.check(cut == 0, || {
                     format!("a sidecar ended with {cut} calls in progress")
                 });
             }
         }
     }
 
-    /// Starts new processes in place of those that have ended.
+    /// Replaces ended processes by new ones, each with a probability of 1 in
+    /// 20.
     fn replace_ended(&mut self, rng: &mut ChaCha8Rng) {
         let ended = self
             .entries
--- a/crates/quay_experiment/src/faults/trial.rs
+++ b/crates/quay_experiment/src/faults/trial.rs
@@ -1,4 +1,4 @@
-//! How a trial is driven.
+//! The trial interface and the loop that drives a trial.
 
 use {
     crate::faults::{Promise, PromiseReport},
@@ -6,61 +6,65 @@
     rand_chacha::ChaCha8Rng,
 };
 
-/// Steps after which a trial starts afresh, so that early states are met often.
+/// Number of steps after which a trial restarts with a new world, so that early
+/// states are covered often.
 const STEPS_PER_WORLD: u64 = 2_000;
 
-/// Whether a trial's decisions are the real ones.
+/// Selects the real decisions or a deliberately faulty variant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decisions {
-    /// As in the daemon.
+    /// The decisions that the daemon makes.
     Real,
-    /// One decision is wrong on purpose, so that a test can show that the trial
-    /// sees it.
+    /// One decision is deliberately wrong, so that a test can show that the
+    /// trial detects the violation.
     Mutated,
 }
 
-/// What a trial has counted.
+/// Counters of a trial.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct Score {
-    /// Faults brought about.
+    /// Number of faults injected.
     pub faults: u64,
-    /// How often the promise was put to the test.
+    /// Number of times that the promise was checked.
     pub tested: u64,
-    /// How often it broke.
+    /// Number of checks that failed.
     pub broken: u64,
-    /// What was seen the first time.
+    /// Description of the first violation.
     pub first: Option<Box<str>>,
 }
 
 impl Score {
-    /// Counts a test of the promise; `what` is only asked for if it broke.
-    pub fn test(&mut self, held: bool, what: impl FnOnce() -> String) {
+    /// Counts a check of the promise; `describe` is called only for the first
+    /// violation.
+    pub fn check(&mut self, held: bool, describe: impl FnOnce() -> String) {
         self.tested += 1;
         if !held {
             self.broken += 1;
-            self.first.get_or_insert_with(|| what().into());
+            self.first.get_or_insert_with(|| describe().into());
         }
     }
 
-    /// Counts a fault.
-    pub const fn fault(&mut self) {
+    /// Counts an injected fault.
+    pub const fn record_fault(&mut self) {
         self.faults += 1;
     }
 }
 
-/// The smallest set of state machines that carries some promises, under attack.
+/// A fault-injection simulation of the smallest set of state machines that
+/// implements one or more promises.
 pub trait Trial: Sized {
-    /// A new world in which `promise` is put to the test.
+    /// Creates a new world in which `promise` is checked.
     fn new(promise: Promise, decisions: Decisions, rng: &mut ChaCha8Rng) -> Self;
 
-    /// Takes one random step: ordinary work or a fault.
+    /// Takes one random step of ordinary work, fault injection or both.
     fn step(&mut self, rng: &mut ChaCha8Rng, score: &mut Score);
 
-    /// Heals every fault, lets the world settle and tests what must hold then.
+    /// Injects no further faults, lets the world settle and checks the final
+    /// state.
     fn settle(&mut self, rng: &mut ChaCha8Rng, score: &mut Score);
 }
 
-/// Runs a trial for `steps` steps; the same seed gives the same report.
+/// Runs a trial for `steps` steps; the same arguments give the same report.
 #[must_use]
 pub fn run_trial<T: Trial>(
     promise: Promise,
@@ -72,7 +76,8 @@
     let mut taken = 0;
     while taken < steps {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        // Worlds differ by stream, so that their draws never overlap.
+        // Each world draws from its own random stream, so that draws never
+        // overlap.
         rng.set_stream(taken);
         let mut world = T::new(promise, decisions, &mut rng);
         let run = STEPS_PER_WORLD.min(steps - taken);
--- a/crates/quay_experiment/tests/faults.rs
+++ b/crates/quay_experiment/tests/faults.rs
@@ -1,13 +1,14 @@
-//! Short runs of the trials, and proof that each sees a broken promise.
+//! Short runs of the trials, and checks that each trial detects a violated
+//! promise.
 
 use quay_experiment::faults::{Decisions, Promise, run_promise};
 
 const SEED: u64 = 7;
 const STEPS: u64 = 60_000;
 
-/// The promise holds under the real decisions and is seen to break under a
-/// mutated one.
-fn holds(promise: Promise) {
+/// Checks that the promise holds with the real decisions and that the trial
+/// detects a violation with a mutated one.
+fn check_promise(promise: Promise) {
     let real = run_promise(promise, SEED, STEPS, Decisions::Real);
     assert!(real.tested > 100, "{real:?}");
     assert!(real.faults > 100, "{real:?}");
@@ -18,52 +19,52 @@
 
 #[test]
 fn calls_run_in_order() {
-    holds(Promise::Order);
+    check_promise(Promise::Order);
 }
 
 #[test]
 fn histories_are_kept_apart_and_whole() {
-    holds(Promise::History);
+    check_promise(Promise::History);
 }
 
 #[test]
 fn budgets_are_not_exceeded() {
-    holds(Promise::Budget);
+    check_promise(Promise::Budget);
 }
 
 #[test]
 fn memory_of_ended_programs_is_released() {
-    holds(Promise::Release);
+    check_promise(Promise::Release);
 }
 
 #[test]
 fn callers_get_one_whole_answer() {
-    holds(Promise::WholeAnswer);
+    check_promise(Promise::WholeAnswer);
 }
 
 #[test]
 fn not_run_is_true() {
-    holds(Promise::NotRun);
+    check_promise(Promise::NotRun);
 }
 
 #[test]
 fn calls_run_at_most_once() {
-    holds(Promise::AtMostOnce);
+    check_promise(Promise::AtMostOnce);
 }
 
 #[test]
 fn leaving_upstreams_get_no_new_work() {
-    holds(Promise::Leaving);
+    check_promise(Promise::Leaving);
 }
 
 #[test]
 fn shutdown_cuts_off_no_call() {
-    holds(Promise::Shutdown);
+    check_promise(Promise::Shutdown);
 }
 
 #[test]
 fn configuration_spreads_and_never_reverts() {
-    holds(Promise::Configuration);
+    check_promise(Promise::Configuration);
 }
 
 #[test]
