--- a/crates/quay_experiment/src/faults/calls/callers.rs
+++ b/crates/quay_experiment/src/faults/calls/callers.rs
@@ -6,7 +6,7 @@
         calls::{
             entry::Request,
             ground_truth::{Call, CallerResult},
-            world::{BUDGET, CALLS, CallWorld, PROGRAMS, account, answer_of},
+            world::{BUDGET, CallWorld, MAX_CALLS, MAX_PROGRAMS, account, answer_of},
         },
         random::{chance, draw},
     },
@@ -18,7 +18,7 @@
 impl CallWorld {
     /// Starts programs, makes calls and retries calls on behalf of the callers.
     pub(super) fn run_callers(&mut self, rng: &mut ChaCha8Rng) {
-        if self.programs.len() < PROGRAMS && chance(rng, 100) {
+        if self.programs.len() < MAX_PROGRAMS && chance(rng, 100) {
             self.start_program(rng);
         }
         if self.programs.is_empty() || !chance(rng, 300) {
@@ -38,7 +38,7 @@
                     self.send(call);
                 }
             }
-            _ if count >= CALLS => self.end_program(program),
+            _ if count >= MAX_CALLS => self.end_program(program),
             // Sometimes makes a call before the previous call is answered.
             _ => self.next_call(program, count, rng),
         }
--- a/crates/quay_experiment/src/faults/calls/sidecar.rs
+++ b/crates/quay_experiment/src/faults/calls/sidecar.rs
@@ -21,7 +21,7 @@
 
 /// A sidecar with the real permit registry and a fake upstream.
 pub(super) struct Sidecar {
-    /// The upstream.
+    /// Upstream that the sidecar serves.
     pub upstream: UpstreamId,
     /// Incarnation of the sidecar, increased by each restart.
     pub incarnation: Incarnation,
--- a/crates/quay_experiment/src/faults/calls/upstreams.rs
+++ b/crates/quay_experiment/src/faults/calls/upstreams.rs
@@ -144,8 +144,8 @@
         self.check(Promise::AtMostOnce, score, once, || {
             format!("call {slot} ran twice")
         });
-        let told = call.told == CallerResult::NotRun && call.requests == 0;
-        self.check(Promise::NotRun, score, !told, || {
+        let reported_not_run = call.told == CallerResult::NotRun && call.requests == 0;
+        self.check(Promise::NotRun, score, !reported_not_run, || {
             format!("call {slot} ran after it was told not run")
         });
         self.calls[slot].ran.push(permit.id);
--- a/crates/quay_experiment/src/faults/calls/world.rs
+++ b/crates/quay_experiment/src/faults/calls/world.rs
@@ -25,10 +25,10 @@
 pub(super) const SIDECARS: u64 = 4;
 
 /// Maximum number of open programs.
-pub(super) const PROGRAMS: usize = 6;
+pub(super) const MAX_PROGRAMS: usize = 6;
 
 /// Maximum number of calls of a program.
-pub(super) const CALLS: u32 = 6;
+pub(super) const MAX_CALLS: u32 = 6;
 
 /// Token budget of a root program.
 pub(super) const BUDGET: Tokens = Tokens(2_000);
@@ -53,7 +53,7 @@
 /// same request are ignored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Stream {
-    /// The request.
+    /// Number of the request.
     pub request: u64,
     /// Number of the exchange within the request.
     pub exchange: u32,
@@ -62,15 +62,15 @@
 /// A message in flight.
 #[derive(Debug, Clone)]
 pub(super) enum Message {
-    /// To the ledger: a command.
+    /// To the ledger: requests a permit.
     Begin(Stream, Begin),
-    /// To the ledger: a command.
+    /// To the ledger: records the outcome of an attempt.
     Settle(Stream, Settle),
-    /// To the sidecar named in the permit.
+    /// To the sidecar named in the permit: delivers the permit.
     Deliver(Stream, Permit),
     /// To the sidecar named in the permit: the call may start.
     Proceed(Stream, Permit),
-    /// To the sidecar named in the permit.
+    /// To the sidecar named in the permit: queries the permit status.
     QueryPermit(Stream, Permit),
     /// To an entry: the call waits for confirmation.
     Ready(Stream, Permit),
--- a/crates/quay_experiment/src/faults/release.rs
+++ b/crates/quay_experiment/src/faults/release.rs
@@ -18,7 +18,7 @@
 };
 
 /// Maximum number of open programs.
-const PROGRAMS: usize = 12;
+const MAX_PROGRAMS: usize = 12;
 
 /// Time within which the memory of an ended program must be released while the
 /// ledger can be reached.
@@ -77,7 +77,7 @@
 
     fn step(&mut self, rng: &mut ChaCha8Rng, score: &mut Score) {
         self.now = self.now + draw_ms(rng, 200);
-        if self.open.len() < PROGRAMS && chance(rng, 200) {
+        if self.open.len() < MAX_PROGRAMS && chance(rng, 200) {
             self.create_program();
         }
         if !self.open.is_empty() {
