--- a/crates/quay_experiment/src/lib.rs
+++ b/crates/quay_experiment/src/lib.rs
@@ -1,7 +1,8 @@
-//! Seeded experiments over the decision logic: policies beside baselines,
-//! faults against the promises, and measured slopes for capacity planning.
+//! Experiments with the decision logic: comparison of policies with baselines,
+//! fault injection that checks the system's promises, and measurements for
+//! capacity planning.
 //!
-//! Everything here is driven by a seed, so the same seed prints the same bytes;
+//! All random choices derive from a seed, so the same seed prints the same bytes;
 //! only measured times differ between runs.
 //!
 //! ```
--- a/crates/quay_experiment/src/policy/mod.rs
+++ b/crates/quay_experiment/src/policy/mod.rs
@@ -1,7 +1,8 @@
-//! Compares scheduling policies over the engine model.
+//! Compares scheduling policies in a discrete-event simulation of the engines.
 //!
-//! Not a model of any platform: ten engines, three entries that share nothing
-//! but late reports, and programs of the shape that the two deployments have.
+//! The simulation does not reproduce a specific platform. By default, it has ten
+//! engines and three entries that only share delayed load reports. The workloads
+//! have the shape of the programs of the two deployments.
 
 mod calls;
 mod faults;
@@ -10,10 +11,10 @@
 mod program;
 mod report;
 mod scenario;
+mod simulation;
 mod stats;
 mod upstream;
 mod workload;
-mod world;
 
 pub use {
     plot::plot,
--- a/crates/quay_experiment/src/policy/plot.rs
+++ b/crates/quay_experiment/src/policy/plot.rs
@@ -1,4 +1,4 @@
-//! A plot of program latency by scenario and policy.
+//! Bar chart of the mean program latency by scenario and policy.
 
 use {
     super::report::{Report, Row},
@@ -6,53 +6,53 @@
     std::error::Error,
 };
 
-/// Size of the plot in pixels.
-const SIZE: (u32, u32) = (1_200, 700);
+/// Width and height of the plot in pixels.
+const SIZE_PIXELS: (u32, u32) = (1_200, 700);
 
-/// Policies that the plot shows; the others are in the table.
-const SHOWN: [(&str, RGBColor); 3] = [
+/// Policies in the plot and their colours; the table shows all policies.
+const PLOTTED_POLICIES: [(&str, RGBColor); 3] = [
     ("arrival order + least load", RGBColor(200, 80, 60)),
     ("arrival order + prefix affinity", RGBColor(220, 170, 60)),
     ("the policy", RGBColor(60, 110, 190)),
 ];
 
-/// Draws mean latency of each scenario as an SVG.
+/// Draws the mean program latency of each scenario and policy as an SVG.
 ///
 /// # Errors
 ///
-/// Fails if the plot can't be drawn.
+/// Returns an error if the plot cannot be drawn.
 pub fn plot(report: &Report) -> Result<String, Box<dyn Error>> {
     let mut svg = String::new();
-    draw(report, &mut svg)?;
+    draw_chart(report, &mut svg)?;
     Ok(svg)
 }
 
 #[allow(clippy::cast_precision_loss)] // A few dozen bars.
-fn draw(report: &Report, svg: &mut String) -> Result<(), Box<dyn Error>> {
-    let area = SVGBackend::with_string(svg, SIZE).into_drawing_area();
+fn draw_chart(report: &Report, svg: &mut String) -> Result<(), Box<dyn Error>> {
+    let area = SVGBackend::with_string(svg, SIZE_PIXELS).into_drawing_area();
     area.fill(&WHITE)?;
     let mut scenarios: Vec<&str> = report.rows.iter().map(|row| &*row.scenario).collect();
     scenarios.dedup();
     let seconds = |row: &Row| row.stats.latency_ms.mean / 1e3;
-    let most = report.rows.iter().map(seconds).fold(1.0, f64::max);
+    let max_seconds = report.rows.iter().map(seconds).fold(1.0, f64::max);
     let mut chart = ChartBuilder::on(&area)
         .caption("Mean program latency, s", ("sans-serif", 22))
         .margin(12)
         .x_label_area_size(40)
         .y_label_area_size(50)
-        .build_cartesian_2d(0.0..scenarios.len() as f64, 0.0..most * 1.1)?;
+        .build_cartesian_2d(0.0..scenarios.len() as f64, 0.0..max_seconds * 1.1)?;
     chart
         .configure_mesh()
         .disable_x_mesh()
         .x_labels(scenarios.len() * 2 + 1)
-        .x_label_formatter(&|at| label(&scenarios, *at))
+        .x_label_formatter(&|x| label(&scenarios, *x))
         .draw()?;
-    let width = 0.8 / SHOWN.len() as f64;
-    for (policy, (name, colour)) in SHOWN.iter().enumerate() {
+    let width = 0.8 / PLOTTED_POLICIES.len() as f64;
+    for (policy, (name, colour)) in PLOTTED_POLICIES.iter().enumerate() {
         let rows = report.rows.iter().filter(|row| row.policy == *name);
         let bars = rows.map(|row| {
-            let place = scenarios.iter().position(|known| *known == &*row.scenario);
-            let left = place.unwrap_or_default() as f64 + 0.1 + policy as f64 * width;
+            let index = scenarios.iter().position(|known| *known == &*row.scenario);
+            let left = index.unwrap_or_default() as f64 + 0.1 + policy as f64 * width;
             Rectangle::new([(left, 0.0), (left + width, seconds(row))], colour.filled())
         });
         chart
@@ -69,13 +69,13 @@
     Ok(())
 }
 
-/// The scenario whose bars are at `at`, where its middle is.
-fn label(scenarios: &[&str], at: f64) -> String {
-    let middle = |(place, _): &(usize, &&str)| {
+/// Returns the name of the scenario whose group of bars is centred at `x`.
+fn label(scenarios: &[&str], x: f64) -> String {
+    let is_centre = |(index, _): &(usize, &&str)| {
         #[allow(clippy::cast_precision_loss)] // A few dozen bars.
-        let place = *place as f64;
-        (place + 0.5 - at).abs() < 0.01
+        let index = *index as f64;
+        (index + 0.5 - x).abs() < 0.01
     };
-    let found = scenarios.iter().enumerate().find(middle);
+    let found = scenarios.iter().enumerate().find(is_centre);
     found.map_or_else(String::new, |(_, name)| (*name).into())
 }
--- a/crates/quay_experiment/src/policy/policies.rs
+++ b/crates/quay_experiment/src/policy/policies.rs
@@ -1,7 +1,7 @@
-//! The policies that are compared, one type each.
+//! The compared policies, with one type for each.
 
 use {
-    super::{scenario::Scenario, stats::Stats, world::World},
+    super::{scenario::Scenario, simulation::Simulation, stats::Stats},
     quay_policy::{
         AdaptiveLimit, AdmissionSettings, ExpectedTime, FixedLimit, LeastLoad, LongestPrefix,
         Policy, PolicySettings, RetentionSettings, RetrySettings, RouteSettings,
@@ -9,7 +9,7 @@
     std::time::Duration,
 };
 
-/// Declares policies, and the table of their names.
+/// Declares the policy types, the list of their names and the dispatch by name.
 macro_rules! policies {
     ($( $(#[$doc:meta])* $policy:ident => $name:literal, $score:ty, $limit:ty, $settings:expr; )*) => {
         $(
@@ -28,14 +28,15 @@
             }
         )*
 
-        /// Names of all policies, in the order of reports.
+        /// Names of all policies, in the order in which reports list them.
         pub const POLICY_NAMES: &[&str] = &[ $( $policy::NAME, )* ];
 
-        /// Runs the policy of that name; `None` if there is none.
+        /// Simulates the scenario with the named policy; returns `None` if no
+        /// policy has this name.
         #[must_use]
         pub fn run_policy(name: &str, scenario: &Scenario, seed: u64) -> Option<Stats> {
             match name {
-                $( $name => Some(World::<$policy>::new(scenario, seed).run()), )*
+                $( $name => Some(Simulation::<$policy>::new(scenario, seed).run()), )*
                 _ => None,
             }
         }
@@ -43,79 +44,80 @@
 }
 
 policies! {
-    /// The baseline.
+    /// Baseline: arrival order, and the upstream with the least load.
     ArrivalLeastLoad => "arrival order + least load", LeastLoad, FixedLimit, baseline();
-    /// The baseline with the usual cure for wasted cache.
+    /// Baseline with prefix-aware routing, the usual way to avoid recomputing
+    /// cached prompts.
     ArrivalLongestPrefix => "arrival order + prefix affinity", LongestPrefix, FixedLimit, baseline();
-    /// Every part.
+    /// The full policy with all mechanisms enabled.
     Full => "the policy", ExpectedTime, AdaptiveLimit, PolicySettings::default();
-    /// Upstreams are chosen with no regard to what they hold.
-    NoPrefix => "less prefix", ExpectedTime, AdaptiveLimit, route(RouteSettings {
+    /// Routing ignores the prefix caches of the upstreams.
+    NoPrefix => "less prefix", ExpectedTime, AdaptiveLimit, with_route(RouteSettings {
         prefix_weight: 0,
         prefix_per_running: 0,
         home_weight: 0,
         ..RouteSettings::default()
     });
-    /// Programs have no home that entries agree on.
-    NoHome => "less home", ExpectedTime, AdaptiveLimit, route(RouteSettings {
+    /// Programs have no preferred upstream that all entries agree on.
+    NoHomeUpstream => "less home", ExpectedTime, AdaptiveLimit, with_route(RouteSettings {
         home_weight: 0,
         ..RouteSettings::default()
     });
-    /// Load is taken as reported.
-    NoCorrection => "less load correction", ExpectedTime, AdaptiveLimit, route(RouteSettings {
+    /// Routing uses the reported load without corrections for its age.
+    NoCorrection => "less load correction", ExpectedTime, AdaptiveLimit, with_route(RouteSettings {
         correct_load: false,
         ..RouteSettings::default()
     });
-    /// The best upstream is always taken, however small its lead.
-    NoSpread => "less spread", ExpectedTime, AdaptiveLimit, route(RouteSettings {
+    /// The best upstream is always chosen, even if others score almost as well.
+    NoSpread => "less spread", ExpectedTime, AdaptiveLimit, with_route(RouteSettings {
         spread: Duration::ZERO,
         ..RouteSettings::default()
     });
-    /// Sub-agents wait like others.
-    NoLead => "less sub-agent lead", ExpectedTime, AdaptiveLimit, admit(AdmissionSettings {
+    /// Sub-agents have no priority over root programs in the queue.
+    NoSubAgentLead => "less sub-agent lead", ExpectedTime, AdaptiveLimit, with_admission(AdmissionSettings {
         sub_agent_lead: Duration::ZERO,
         ..AdmissionSettings::default()
     });
-    /// Accounts have no share.
-    NoShare => "less account share", ExpectedTime, AdaptiveLimit, admit(AdmissionSettings {
+    /// Accounts have no share that limits their use of an upstream.
+    NoAccountShare => "less account share", ExpectedTime, AdaptiveLimit, with_admission(AdmissionSettings {
         account_share_permille: 0,
         ..AdmissionSettings::default()
     });
-    /// Accounts may have any number of calls in progress.
-    NoSlices => "less account slices", ExpectedTime, AdaptiveLimit, PolicySettings {
+    /// The number of calls in progress of an account is unlimited.
+    NoAccountQuota => "less account slices", ExpectedTime, AdaptiveLimit, PolicySettings {
         account_calls: 0,
         ..PolicySettings::default()
     };
-    /// Nothing is refused while the queue has room.
-    NoShedding => "less shedding", ExpectedTime, AdaptiveLimit, admit(AdmissionSettings {
+    /// Calls are refused only when the queue is full.
+    NoShedding => "less shedding", ExpectedTime, AdaptiveLimit, with_admission(AdmissionSettings {
         shed_new_after: Duration::ZERO,
         ..AdmissionSettings::default()
     });
-    /// The engine is given all that comes.
-    NoLimit => "less learned limit", ExpectedTime, FixedLimit, PolicySettings::default();
-    /// KV memory stays with ended programs until it is evicted.
-    NoRelease => "less release", ExpectedTime, AdaptiveLimit, retain(RetentionSettings {
+    /// The concurrency limit of an engine stays at its maximum.
+    NoAdaptiveLimit => "less learned limit", ExpectedTime, FixedLimit, PolicySettings::default();
+    /// KV blocks of ended programs remain in memory until they are evicted.
+    NoRelease => "less release", ExpectedTime, AdaptiveLimit, with_retention(RetentionSettings {
         release: false,
         ..RetentionSettings::default()
     });
-    /// KV memory stays with paused programs until it is evicted.
-    NoExport => "less export", ExpectedTime, AdaptiveLimit, retain(RetentionSettings {
+    /// KV blocks of paused programs remain in memory until they are evicted.
+    NoExport => "less export", ExpectedTime, AdaptiveLimit, with_retention(RetentionSettings {
         export_after: Duration::ZERO,
         ..RetentionSettings::default()
     });
-    /// Requests that crash upstreams are not told apart.
+    /// Requests suspected of crashing upstreams are not quarantined.
     NoQuarantine => "less quarantine", ExpectedTime, AdaptiveLimit, PolicySettings {
         quarantine: false,
         ..PolicySettings::default()
     };
-    /// Each lost call is sent again at once.
+    /// Every lost call is retried immediately.
     NoRetryBudget => "less retry budget", ExpectedTime, AdaptiveLimit, PolicySettings {
         retry: unlimited_retries(),
         ..PolicySettings::default()
     };
 }
 
-/// Arrival order with nothing else.
+/// Returns settings that disable every optional mechanism.
 fn baseline() -> PolicySettings {
     PolicySettings {
         route: RouteSettings {
@@ -142,7 +144,7 @@
     }
 }
 
-/// A budget that never runs out.
+/// Returns a retry budget that is never exhausted.
 const fn unlimited_retries() -> RetrySettings {
     RetrySettings {
         share_permille: 1_000_000,
@@ -150,21 +152,21 @@
     }
 }
 
-fn route(route: RouteSettings) -> PolicySettings {
+fn with_route(route: RouteSettings) -> PolicySettings {
     PolicySettings {
         route,
         ..PolicySettings::default()
     }
 }
 
-fn admit(admit: AdmissionSettings) -> PolicySettings {
+fn with_admission(admit: AdmissionSettings) -> PolicySettings {
     PolicySettings {
         admit,
         ..PolicySettings::default()
     }
 }
 
-fn retain(retain: RetentionSettings) -> PolicySettings {
+fn with_retention(retain: RetentionSettings) -> PolicySettings {
     PolicySettings {
         retain,
         ..PolicySettings::default()
--- a/crates/quay_experiment/src/policy/program.rs
+++ b/crates/quay_experiment/src/policy/program.rs
@@ -1,80 +1,81 @@
-//! Programs: chains of turns that pause for tools and start sub-agents.
+//! Programs: sequences of calls with pauses for tools and with sub-agents.
 
 use {
     quay_types::{AccountId, ProgramId, Time},
     std::{sync::Arc, time::Duration},
 };
 
-/// Tokens in a block.
+/// Number of tokens in a KV cache block.
 pub const BLOCK_TOKENS: u32 = 64;
 
-/// One call of a program.
+/// One call of a program and the pause that follows it.
 #[derive(Debug, Clone)]
 pub struct Turn {
-    /// New tokens of the prompt.
+    /// Number of new tokens in the prompt.
     pub input: u32,
-    /// Tokens of the answer.
+    /// Number of tokens in the answer.
     pub output: u32,
-    /// Time until the next call.
+    /// Time between the end of this call and the next call.
     pub pause: Duration,
-    /// Programs that have to end before the next call, by their place in the list.
+    /// Sub-agents that must end before the next call, as indices into the list of
+    /// programs.
     pub sub_agents: Vec<usize>,
 }
 
-/// A program as it will run; its scheduler doesn't know.
+/// Predetermined course of a program, which is not visible to the policy.
 #[derive(Debug, Clone)]
 pub struct ProgramSpec {
-    /// Its id.
+    /// Unique id.
     pub id: ProgramId,
-    /// Account that pays.
+    /// Account that the program's usage is charged to.
     pub account: AccountId,
-    /// Depth below the root.
+    /// Number of levels below the root program.
     pub depth: u8,
-    /// When it begins; sub-agents begin with their parent's turn.
+    /// Start time; sub-agents start when the parent's turn ends instead.
     pub arrival: Time,
-    /// Place of the parent in the list.
+    /// Index of the parent in the list of programs.
     pub parent: Option<usize>,
-    /// Leading tokens that other programs share.
-    pub shared: u32,
-    /// Its calls.
+    /// Number of leading prompt tokens that are shared with other programs.
+    pub shared_tokens: u32,
+    /// Calls, in order.
     pub turns: Vec<Turn>,
-    /// Hashes of its whole history.
+    /// Hashes of all blocks of the history.
     pub blocks: Arc<[u64]>,
-    /// When its caller gives up.
+    /// Time at which the caller abandons the program.
     pub deadline: Time,
-    /// Whether its first call crashes engines.
+    /// Whether the program's calls crash the engine that runs them.
     pub poison: bool,
-    /// Whether it belongs to the account that floods.
+    /// Whether the program belongs to the flooding account.
     pub flooding: bool,
 }
 
 impl ProgramSpec {
-    /// Length of the prompt of a turn.
+    /// Length of a turn's prompt in tokens, including all earlier turns.
     #[must_use]
     pub fn prompt(&self, turn: usize) -> u32 {
         let before: u32 = self.turns[..turn]
             .iter()
             .map(|turn| turn.input + turn.output)
             .sum();
-        self.shared + before + self.turns[turn].input
+        self.shared_tokens + before + self.turns[turn].input
     }
 }
 
-/// Where a program stands.
+/// Progress of a program.
 #[derive(Debug, Clone, Default)]
 pub struct ProgramState {
-    /// Next or open turn.
+    /// Index of the current or next turn.
     pub turn: usize,
-    /// Tokens that it was given.
+    /// Number of prompt and output tokens of completed calls.
     pub attained: u64,
-    /// Sub-agents that have not ended.
-    pub open_children: usize,
-    /// Whether the turn that they belong to has paused long enough.
-    pub pause_over: bool,
-    /// Its open call.
+    /// Number of sub-agents that have not ended.
+    pub open_sub_agents: usize,
+    /// Whether the pause after the turn that started the sub-agents has elapsed.
+    pub pause_elapsed: bool,
+    /// Index of the call in progress.
     pub call: Option<usize>,
-    /// Upstreams that hold something for it.
+    /// Upstreams that hold KV blocks of the program.
     pub upstreams: Vec<usize>,
-    /// Whether it has ended, well or not.
+    /// Whether the program has finished or was abandoned.
     pub ended: bool,
 }
--- a/crates/quay_experiment/src/policy/report.rs
+++ b/crates/quay_experiment/src/policy/report.rs
@@ -1,4 +1,4 @@
-//! Runs every policy in every scenario and tabulates what was measured.
+//! Runs the policies in all scenarios and formats the results as tables.
 
 use {
     super::{
@@ -15,38 +15,38 @@
     },
 };
 
-/// Loads in thousandths of capacity.
-const LOADS: [u32; 3] = [500, 900, 1_300];
+/// Offered loads in thousandths of the engines' capacity.
+const LOADS_PERMILLE: [u32; 3] = [500, 900, 1_300];
 
-/// Runs that go on side by side.
+/// Number of runs that are simulated in parallel.
 const THREADS: usize = 3;
 
-/// One run.
+/// Results of one policy in one scenario.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Row {
-    /// Scenario.
+    /// Name of the scenario.
     pub scenario: Box<str>,
-    /// Policy.
+    /// Name of the policy.
     pub policy: &'static str,
-    /// What was measured.
+    /// Measurements of the run.
     #[serde(flatten)]
     pub stats: Stats,
 }
 
-/// All runs of a seed.
+/// Results of all runs with one seed.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Report {
-    /// Seed of every random choice.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// Runs, by scenario and then by policy.
+    /// Results, ordered by scenario and then by policy.
     pub rows: Vec<Row>,
 }
 
-/// Every scenario of a report.
+/// Returns all scenarios of a report.
 fn scenarios() -> Vec<Scenario> {
     let mut list = Vec::new();
     for deployment in Deployment::ALL {
-        for load in LOADS {
+        for load in LOADS_PERMILLE {
             list.push(Scenario::new(deployment, load, false));
             list.push(Scenario::new(deployment, load, true));
         }
@@ -59,8 +59,8 @@
     list
 }
 
-/// Runs every policy whose name contains a part of `only`, which commas
-/// separate, in every scenario whose name contains `within`.
+/// Runs every policy whose name contains one of the comma-separated parts of
+/// `only` in every scenario whose name contains `within`.
 #[must_use]
 pub fn run_policies(seed: u64, only: &str, within: &str) -> Report {
     let jobs: Vec<(Scenario, &'static str)> = scenarios()
@@ -75,8 +75,8 @@
         for _ in 0..THREADS {
             scope.spawn(|| {
                 loop {
-                    let at = take_next(&next);
-                    let Some((scenario, policy)) = jobs.get(at) else {
+                    let index = take_next(&next);
+                    let Some((scenario, policy)) = jobs.get(index) else {
                         return;
                     };
                     let row = run_policy(policy, scenario, seed).map(|stats| Row {
@@ -84,7 +84,7 @@
                         policy,
                         stats,
                     });
-                    rows.lock().unwrap_or_else(PoisonError::into_inner)[at] = row;
+                    rows.lock().unwrap_or_else(PoisonError::into_inner)[index] = row;
                 }
             });
         }
@@ -109,7 +109,7 @@
         for row in &self.rows {
             if row.scenario.as_ref() != scenario {
                 scenario = &row.scenario;
-                writeln!(f, "\n{scenario}\n{HEAD}")?;
+                writeln!(f, "\n{scenario}\n{TABLE_HEADER}")?;
             }
             writeln!(f, "{row}")?;
         }
@@ -117,8 +117,8 @@
     }
 }
 
-/// Head of each table.
-const HEAD: &str = "\
+/// Header of each table.
+const TABLE_HEADER: &str = "\
 | policy | mean s | P50 s | P95 s | P99 s | others' P95 s | first token P95 ms | gap P95 ms | again ktok | idle kblk s | wasted engine s | goodput /s | finished | refusals | longest wait s | lost to poison |
 |---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|";
 
--- a/crates/quay_experiment/src/policy/scenario.rs
+++ b/crates/quay_experiment/src/policy/scenario.rs
@@ -1,14 +1,15 @@
-//! What a run is about.
+//! Parameters of a simulation run.
 
 use serde::Serialize;
 
-/// Whose programs run.
+/// Deployment that a workload is modelled on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Deployment {
-    /// Many similar shops with long common prefixes; peaks at opening and cut-off.
+    /// Many similar shops whose prompts share long prefixes; the load peaks at
+    /// opening and at the ordering deadline.
     Ordinalia,
-    /// A burst at dawn, long tool pauses, sub-agents.
+    /// An early-morning burst, long pauses for tools, and sub-agents.
     Olivera,
 }
 
@@ -16,7 +17,7 @@
     /// Both deployments.
     pub const ALL: [Self; 2] = [Self::Ordinalia, Self::Olivera];
 
-    /// Name in reports.
+    /// Name used in reports.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -26,32 +27,32 @@
     }
 }
 
-/// One run.
+/// Parameters of one simulation run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Scenario {
-    /// Whose programs run.
+    /// Deployment that the workload is modelled on.
     pub deployment: Deployment,
-    /// Offered load in thousandths of capacity.
+    /// Offered load in thousandths of the engines' capacity.
     pub load_permille: u32,
-    /// Whether things fail meanwhile.
+    /// Whether faults are injected during the run.
     pub faults: bool,
-    /// Whether one account sends five times its share.
+    /// Whether one account offers five times the load of its account share.
     pub flood: bool,
-    /// Whether cache events reach the entries.
+    /// Whether entries receive the engines' cache events.
     pub events: bool,
-    /// How long programs arrive, in seconds.
+    /// Duration of the arrival phase, in seconds.
     pub seconds: u64,
-    /// Upstreams.
+    /// Number of upstreams.
     pub upstreams: usize,
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
 }
 
-/// How long programs arrive in a whole run, in seconds.
-const SECONDS: u64 = 180;
+/// Default duration of the arrival phase, in seconds.
+const DEFAULT_SECONDS: u64 = 180;
 
 impl Scenario {
-    /// A whole run over ten upstreams.
+    /// Returns a full-length run with ten upstreams and three entries.
     #[must_use]
     pub const fn new(deployment: Deployment, load_permille: u32, faults: bool) -> Self {
         Self {
@@ -60,13 +61,14 @@
             faults,
             flood: false,
             events: true,
-            seconds: SECONDS,
+            seconds: DEFAULT_SECONDS,
             upstreams: 10,
             entries: 3,
         }
     }
 
-    /// The same with so many entries that each hears only of its own calls.
+    /// Returns the same scenario with 30 entries and no cache events, so that each
+    /// entry only knows about its own calls.
     #[must_use]
     pub const fn with_many_entries(self) -> Self {
         Self {
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Name in reports.
+    /// Name used in reports.
     #[must_use]
     pub fn name(&self) -> String {
         let faults = if self.faults { ", faults" } else { "" };
--- a/crates/quay_experiment/src/policy/stats.rs
+++ b/crates/quay_experiment/src/policy/stats.rs
@@ -1,58 +1,62 @@
-//! What a run measures.
+//! Measurements of a run.
 
 use {hdrhistogram::Histogram, serde::Serialize, std::time::Duration};
 
-/// Significant digits of a histogram.
-const DIGITS: u8 = 3;
+/// Number of significant decimal digits that histograms keep.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Greatest value of a histogram, in microseconds: an hour.
-const MOST_US: u64 = 3_600_000_000;
+/// Maximum value of a histogram, in microseconds: one hour.
+const MAX_US: u64 = 3_600_000_000;
 
-/// Values at some percentiles, in milliseconds.
+/// Mean and percentiles of a distribution, in milliseconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct Percentiles {
-    /// Mean.
+    /// Arithmetic mean.
     pub mean: f64,
-    /// Half of the values are at most this.
+    /// Median.
     pub p50: f64,
-    /// 95 in 100 values are at most this.
+    /// 95th percentile.
     pub p95: f64,
-    /// 99 in 100 values are at most this.
+    /// 99th percentile.
     pub p99: f64,
 }
 
-/// What a run measured.
+/// Results of a run.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Stats {
-    /// Programs that began.
+    /// Number of root programs that started.
     pub programs: u64,
-    /// Programs that finished before their callers gave up.
+    /// Number of root programs that finished before their deadline.
     pub finished: u64,
-    /// Latency of whole programs; one that was given up counts up to then.
+    /// Latency of root programs; an abandoned program counts with the time until
+    /// its deadline.
     pub latency_ms: Percentiles,
-    /// Time to the first token of a call, from the caller's first try.
+    /// Time from the caller's first attempt to the first token of the call.
     pub first_token_ms: Percentiles,
-    /// Time between two tokens.
+    /// Time between consecutive tokens of a call.
     pub token_gap_ms: Percentiles,
-    /// Prompt tokens prefilled again that had been in a cache, in thousands.
+    /// Prompt tokens that were prefilled again although an engine had cached them
+    /// before, in thousands.
     pub wasted_ktokens: f64,
     /// KV memory held by ended or paused programs, in thousands of block-seconds.
     pub idle_kblock_s: f64,
-    /// Both as engine time: prefill, and share of memory times time, in seconds.
+    /// Engine time lost to both kinds of waste, in seconds: the time of repeated
+    /// prefills, plus idle KV memory as a share of the engine's memory times its
+    /// duration.
     pub wasted_engine_s: f64,
-    /// Programs finished in time, a second.
+    /// Root programs finished before their deadline, per second.
     pub goodput: f64,
-    /// Answers that sent a caller away for a while.
+    /// Number of refusals after which the caller had to wait before a retry.
     pub refusals: u64,
-    /// Longest wait before an upstream, in milliseconds.
+    /// Longest wait in an upstream's queue, in milliseconds.
     pub longest_wait_ms: u64,
-    /// Engines lost to poison.
+    /// Number of engine crashes with a poison call among the running calls.
     pub lost_to_poison: u64,
-    /// Latency of the programs of accounts other than the flooding one.
+    /// Latency of root programs of all accounts except the flooding one.
     pub quiet_latency_ms: Percentiles,
 }
 
-/// Counts during a run.
+/// Counters and histograms that are updated during a run.
 #[derive(Debug)]
 pub struct Counters {
     pub latency: Histogram<u64>,
@@ -62,7 +66,7 @@
     pub programs: u64,
     pub finished: u64,
     pub wasted_tokens: u64,
-    /// KV blocks held times microseconds.
+    /// Idle KV blocks times the duration that they were held, in block-microseconds.
     pub idle_block_us: u128,
     pub refusals: u64,
     pub longest_wait: Duration,
@@ -86,7 +90,8 @@
         }
     }
 
-    /// What was counted, for programs that arrived over `seconds`.
+    /// Computes the results of a run whose arrival phase took `seconds`; `prefill`
+    /// is the prefill time per token and `kv_blocks` the capacity of an engine.
     #[allow(clippy::cast_precision_loss)] // Far below 2^52.
     pub fn stats(&self, seconds: u64, prefill: Duration, kv_blocks: u32) -> Stats {
         let idle_block_s = self.idle_block_us as f64 / 1e6;
@@ -109,13 +114,13 @@
     }
 }
 
-/// An empty histogram of microseconds.
+/// Returns an empty histogram of durations in microseconds.
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, MOST_US, DIGITS)
-        .unwrap_or_else(|_| unreachable!("the bounds are constants that fit"))
+    Histogram::new_with_bounds(1, MAX_US, SIGNIFICANT_DIGITS)
+        .unwrap_or_else(|_| unreachable!("the histogram bounds are valid constants"))
 }
 
-/// Records a span.
+/// Records a duration.
 pub fn record(histogram: &mut Histogram<u64>, span: Duration) {
     histogram.saturating_record(u64::try_from(span.as_micros()).unwrap_or(u64::MAX));
 }
@@ -131,7 +136,7 @@
     }
 }
 
-/// Rounds to thousandths, so that reports are short.
+/// Rounds to three decimal places to keep reports short.
 fn round(value: f64) -> f64 {
     (value * 1e3).round() / 1e3
 }
--- a/crates/quay_experiment/src/policy/upstream.rs
+++ b/crates/quay_experiment/src/policy/upstream.rs
@@ -1,4 +1,4 @@
-//! One upstream of a run: its engine and the decisions of its sidecar.
+//! A simulated upstream: the engine and the sidecar's admission and retention.
 
 use {
     indexmap::{IndexMap, IndexSet},
@@ -13,74 +13,76 @@
     std::time::Duration,
 };
 
-/// The model that all programs use.
+/// Model that all programs use.
 pub const MODEL: ModelId = ModelId(1);
 
-/// Data centres of a run.
+/// Names of the data centres.
 const DATA_CENTRES: [&str; 3] = ["a", "b", "c"];
 
-/// Share of cache events that are lost while things fail, in thousandths.
-const EVENT_LOSS: u16 = 200;
+/// Share of cache events that are lost in runs with faults, in thousandths.
+const EVENT_LOSS_PERMILLE: u16 = 200;
 
-/// The engines of a run.
+/// Returns the settings of an engine.
 pub fn model_settings(seed: u64, faults: bool) -> ModelSettings {
     ModelSettings {
         kv_blocks: 2_048,
-        event_loss_permille: if faults { EVENT_LOSS } else { 0 },
+        event_loss_permille: if faults { EVENT_LOSS_PERMILLE } else { 0 },
         seed,
         ..ModelSettings::default()
     }
 }
 
-/// Name of the data centre of a place in a list.
-pub fn data_centre(at: usize) -> &'static str {
-    DATA_CENTRES[at % DATA_CENTRES.len()]
+/// Returns the data centre of the upstream or entry with this index; data
+/// centres are assigned in rotation.
+pub fn data_centre(index: usize) -> &'static str {
+    DATA_CENTRES[index % DATA_CENTRES.len()]
 }
 
-/// One upstream.
+/// An engine and the state of its sidecar.
 pub struct Upstream<L> {
     pub id: UpstreamId,
     pub name: Box<str>,
     pub engine: EngineModel,
-    pub gate: Admission<L>,
+    pub admission: Admission<L>,
     pub retention: Retention,
-    /// Exported KV of paused programs.
+    /// Exported KV blocks of paused programs.
     pub exports: IndexMap<ProgramId, KvExport>,
-    /// Blocks of the exports.
-    pub exported: IndexSet<u64>,
-    /// When the engine is next looked at.
-    pub wake: Option<Time>,
-    /// Prompt tokens of admitted and waiting calls that have no first token yet.
+    /// Hashes of all exported blocks, except those shared between programs.
+    pub exported_blocks: IndexSet<u64>,
+    /// Time of the earliest scheduled engine event.
+    pub next_wake: Option<Time>,
+    /// Number of uncached prompt tokens of queued and running calls that have not
+    /// returned a first token.
     pub backlog: u64,
-    /// Crashes so far.
+    /// Number of crashes so far.
     pub crashes: u64,
-    /// Time at which idle blocks were last counted.
-    pub counted: Time,
-    at: usize,
+    /// Time up to which idle blocks have been counted.
+    pub idle_counted_at: Time,
+    index: usize,
     sequence: u64,
 }
 
 impl<L: ConcurrencyLimit> Upstream<L> {
-    pub fn new(at: usize, policy: &PolicySettings, model: ModelSettings) -> Self {
-        let name: Box<str> = format!("engine-{at}").into();
+    pub fn new(index: usize, policy: &PolicySettings, model: ModelSettings) -> Self {
+        let name: Box<str> = format!("engine-{index}").into();
         Self {
             id: UpstreamId::of(&name),
             name,
             engine: EngineModel::new(model),
-            gate: Admission::new(policy.admit),
+            admission: Admission::new(policy.admit),
             retention: Retention::new(policy.retain),
             exports: IndexMap::new(),
-            exported: IndexSet::new(),
-            wake: None,
+            exported_blocks: IndexSet::new(),
+            next_wake: None,
             backlog: 0,
             crashes: 0,
-            counted: Time::ZERO,
-            at,
+            idle_counted_at: Time::ZERO,
+            index,
             sequence: 0,
         }
     }
 
-    /// What the sidecar announces now.
+    /// Returns the sidecar's next announcement.
     pub fn announcement(&mut self, now: Time) -> Announcement {
         self.sequence += 1;
         let engine = self.engine.load(now).unwrap_or_default();
@@ -94,14 +96,14 @@
             incarnation: Incarnation(1),
             sequence: self.sequence,
             addr: ([127, 0, 0, 1], 1).into(),
-            data_centre: data_centre(self.at).into(),
+            data_centre: data_centre(self.index).into(),
             kind: UpstreamKind::Engine {
                 models: [MODEL].into(),
             },
             state,
             load: Load {
-                queued: u32::try_from(self.gate.queued()).unwrap_or(u32::MAX),
-                running: u32::try_from(self.gate.running()).unwrap_or(u32::MAX),
+                queued: u32::try_from(self.admission.queued()).unwrap_or(u32::MAX),
+                running: u32::try_from(self.admission.running()).unwrap_or(u32::MAX),
                 backlog: self.backlog,
                 kv_permille: engine.kv_permille,
                 token_gap_us: engine.token_gap_us,
@@ -110,46 +112,52 @@
         }
     }
 
-    /// Lets the gate learn from the engine's late report.
+    /// Updates the concurrency limit from the engine's latest load report.
     pub fn observe(&mut self, now: Time) {
         if let Some(report) = self.engine.load(now) {
-            let seen = Observation {
+            let observation = Observation {
                 token_gap: Duration::from_micros(report.token_gap_us.into()),
                 kv_permille: report.kv_permille,
             };
-            self.gate.observe(now, seen);
+            self.admission.observe(now, observation);
         }
     }
 
-    /// Carries out what retention decided; `blocks` are those of the program's
-    /// history, of which the first `shared` belong to others too.
-    pub fn retain(&mut self, now: Time, action: &RetentionAction, blocks: &[u64], shared: u32) {
+    /// Carries out a retention action. `blocks` are the blocks of the program's
+    /// history, of which the first `shared` are shared with other programs.
+    pub fn apply_retention(
+        &mut self,
+        now: Time,
+        action: &RetentionAction,
+        blocks: &[u64],
+        shared: u32,
+    ) {
         let own = blocks.get(shared as usize..).unwrap_or_default();
         match action {
             RetentionAction::Export(program) => {
                 let export = self.engine.export(blocks);
-                self.exported
+                self.exported_blocks
                     .extend(export.blocks.iter().skip(shared as usize));
                 self.exports.insert(*program, export);
                 self.engine.release(now, own);
             }
             RetentionAction::Import(program) => {
-                if let Some(export) = self.take_export(*program) {
+                if let Some(export) = self.remove_export(*program) {
                     self.engine.import(now, &export, shared);
                 }
             }
             RetentionAction::Release(program) => {
-                self.take_export(*program);
+                self.remove_export(*program);
                 self.engine.release(now, own);
             }
             RetentionAction::QueryEnded(_) => {}
         }
     }
 
-    fn take_export(&mut self, program: ProgramId) -> Option<KvExport> {
+    fn remove_export(&mut self, program: ProgramId) -> Option<KvExport> {
         let export = self.exports.swap_remove(&program)?;
         for hash in &export.blocks {
-            self.exported.swap_remove(hash);
+            self.exported_blocks.swap_remove(hash);
         }
         Some(export)
     }
