--- a/crates/quay_experiment/src/capacity/configuration.rs
+++ b/crates/quay_experiment/src/capacity/configuration.rs
@@ -1,7 +1,8 @@
-//! Configuration: bytes and time of a change against accounts.
+//! Configuration measurements: bytes and CPU time of a change by number of
+//! accounts.
 
 use {
-    crate::capacity::{Slope, ledger::as_f64, slope::least_us},
+    crate::capacity::{Slope, ledger::as_f64, slope::min_time_us},
     quay_config::{
         Action, ChangeId, ConfigAnswer, ConfigCommand, ConfigQuery, ConfigStore, KeyDigest, Origin,
         Poll, SectionRevision, Subscriber, Update,
@@ -11,33 +12,34 @@
     std::fmt::Write as _,
 };
 
-/// Accounts in the document.
+/// Numbers of accounts in the document.
 const ACCOUNTS: [u32; 5] = [450, 900, 1_800, 3_600, 7_200];
 
-/// Section of the accounts.
+/// Section that defines the accounts.
 const SECTION: &str = "team";
 
-/// Text of the accounts' section.
+/// Returns the text of a section with `count` accounts.
 fn accounts(count: u32) -> String {
     let mut text = String::new();
     for number in 0..count {
         let key = KeyDigest::of(&number.to_string());
-        let written = write!(
+        let result = write!(
             text,
             "[team.accounts.a-{number}]\nkey_sha256 = \"{key}\"\nweight = 100\n"
         );
-        debug_assert!(written.is_ok(), "a string takes any text");
+        debug_assert!(result.is_ok(), "writing to a String cannot fail");
     }
     text
 }
 
-/// A store with so many accounts, and a subscriber that holds its document.
-fn founded(count: u32) -> (ConfigStore, Subscriber) {
+/// Returns a store with `count` accounts and a subscriber that has received its
+/// document.
+fn bootstrapped(count: u32) -> (ConfigStore, Subscriber) {
     let mut store = ConfigStore::default();
     let head =
         "[platform.owners]\nplatform = [\"root\"]\nteam = [\"ada\"]\n[platform.models.m]\n\n";
     let text = format!("{head}{}", accounts(count));
-    order(
+    apply_command(
         &mut store,
         "found",
         "ledger-1",
@@ -49,9 +51,9 @@
     (store, subscriber)
 }
 
-/// Carries out one order.
-fn order(store: &mut ConfigStore, id: &str, author: &str, origin: Origin, action: Action) {
-    let order = ConfigCommand {
+/// Applies one command to the store.
+fn apply_command(store: &mut ConfigStore, id: &str, author: &str, origin: Origin, action: Action) {
+    let command = ConfigCommand {
         id: ChangeId(id.into()),
         author: author.into(),
         origin,
@@ -59,11 +61,11 @@
         time_ms: 1,
         action,
     };
-    let reply = store.apply(LogIndex(1), Epoch(1), order);
-    assert!(reply.is_ok(), "the order fits: {reply:?}");
+    let reply = store.apply(LogIndex(1), Epoch(1), command);
+    assert!(reply.is_ok(), "configuration command refused: {reply:?}");
 }
 
-/// Changes the weight of one account, a line in the middle of its section.
+/// Changes the weight of the account in the middle of the section.
 fn change(store: &mut ConfigStore, count: u32, weight: u32) {
     let section = &store.image().sections[SECTION];
     let base = SectionRevision {
@@ -81,7 +83,7 @@
         base,
         text,
     };
-    order(
+    apply_command(
         store,
         &format!("c-{weight}"),
         "ada",
@@ -90,7 +92,7 @@
     );
 }
 
-/// What a subscriber is sent.
+/// Returns the store's answer to a subscriber's poll.
 fn poll(store: &ConfigStore, poll: Poll) -> Update {
     match store.query(&ConfigQuery::Poll(poll)) {
         ConfigAnswer::Update(update) => update,
@@ -98,41 +100,41 @@
     }
 }
 
-/// Bytes of an update on the wire.
-fn bytes(update: &Update) -> f64 {
+/// Returns the encoded size of an update in bytes.
+fn encoded_len(update: &Update) -> f64 {
     as_f64(postcard::to_stdvec(update).map_or(0, |bytes| bytes.len()))
 }
 
-/// Slopes of configuration.
+/// Measures the slopes of the configuration.
 pub fn slopes() -> Vec<Slope> {
     let step = Slope::measure("config.step_bytes", "accounts", "B", &ACCOUNTS, |count| {
-        let (mut store, subscriber) = founded(count);
+        let (mut store, subscriber) = bootstrapped(count);
         change(&mut store, count, 7);
-        bytes(&poll(&store, subscriber.poll()))
+        encoded_len(&poll(&store, subscriber.poll()))
     });
     let snapshot = Slope::measure(
         "config.snapshot_bytes",
         "accounts",
         "B",
         &ACCOUNTS,
-        |count| bytes(&poll(&founded(count).0, Poll::default())),
+        |count| encoded_len(&poll(&bootstrapped(count).0, Poll::default())),
     );
     let accept = Slope::measure("config.accept_cpu", "accounts", "us", &ACCOUNTS, |count| {
-        let (mut store, _) = founded(count);
+        let (mut store, _) = bootstrapped(count);
         let mut weight = 1;
-        least_us(1, || {
+        min_time_us(1, || {
             weight += 1;
             change(&mut store, count, weight);
         })
     });
-    let take = Slope::measure("config.take_cpu", "accounts", "us", &ACCOUNTS, |count| {
-        let (mut store, mut subscriber) = founded(count);
+    let receive = Slope::measure("config.take_cpu", "accounts", "us", &ACCOUNTS, |count| {
+        let (mut store, mut subscriber) = bootstrapped(count);
         let mut weight = 1;
-        least_us(1, || {
+        min_time_us(1, || {
             weight += 1;
             change(&mut store, count, weight);
             subscriber.receive(poll(&store, subscriber.poll()), true);
         })
     });
-    vec![step, snapshot, accept, take]
+    vec![step, snapshot, accept, receive]
 }
--- a/crates/quay_experiment/src/capacity/estimate.rs
+++ b/crates/quay_experiment/src/capacity/estimate.rs
@@ -1,4 +1,4 @@
-//! Figures at the size to design for, worked out from slopes.
+//! Resource estimates at the target size, extrapolated from measured slopes.
 
 use {
     crate::capacity::{Slope, Target},
@@ -6,29 +6,30 @@
     std::fmt,
 };
 
-/// Interval at which a daemon polls the directory and the configuration, in seconds.
+/// Interval at which a daemon polls the directory and the configuration, in
+/// seconds.
 const POLL_S: f64 = 1.0;
 
-/// Heartbeats a second of a sidecar to each ledger host.
+/// Number of heartbeats per second that a sidecar sends to each ledger host.
 const HEARTBEATS_PER_S: f64 = 2.0;
 
-/// Bytes that a request and its answer take on a link besides their frames:
-/// packet headers, acknowledgements and the seals of the encryption.
+/// Bytes that a request and its response use on a link in addition to their
+/// frames: packet headers, acknowledgements and authentication tags.
 const LINK_OVERHEAD_BYTES: f64 = 250.0;
 
-/// Seconds in a day.
+/// Number of seconds in a day.
 const DAY_S: f64 = 86_400.0;
 
-/// One figure and its limit.
+/// An estimate and its limit.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Row {
-    /// Role and quantity.
+    /// Component and quantity.
     pub name: Box<str>,
-    /// Unit of figure and limit.
+    /// Unit of the estimate and the limit.
     pub unit: Box<str>,
-    /// The figure at the target.
+    /// Estimate at the target size.
     pub figure: f64,
-    /// The limit, if the users set one.
+    /// Limit set by the users, if any.
     pub limit: Option<f64>,
 }
 
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Share of the limit that the figure takes.
+    /// Returns the estimate as a share of the limit.
     #[must_use]
     pub fn limit_share(&self) -> Option<f64> {
         self.limit.map(|limit| self.figure / limit)
@@ -65,7 +66,7 @@
     }
 }
 
-/// Works out the figures.
+/// Computes all estimates.
 #[must_use]
 pub fn estimate(target: &Target, slopes: &[Slope]) -> Vec<Row> {
     let at = |name: &str, size: f64| {
@@ -78,58 +79,58 @@
     rows
 }
 
-/// What control costs a daemon.
+/// Estimates the cost of control traffic and decisions for a daemon.
 fn daemon(target: &Target, at: impl Fn(&str, f64) -> f64) -> Vec<Row> {
-    let read = (at("members.read_bytes", target.workers) + LINK_OVERHEAD_BYTES) / POLL_S;
-    let config = at("config.step_bytes", target.accounts) * target.changes_per_day / DAY_S
+    let directory_bytes = (at("members.read_bytes", target.workers) + LINK_OVERHEAD_BYTES) / POLL_S;
+    let config_bytes = at("config.step_bytes", target.accounts) * target.changes_per_day / DAY_S
         + LINK_OVERHEAD_BYTES / POLL_S;
-    let beats = (at("members.heartbeat_bytes", target.workers) + LINK_OVERHEAD_BYTES)
+    let heartbeat_bytes = (at("members.heartbeat_bytes", target.workers) + LINK_OVERHEAD_BYTES)
         * HEARTBEATS_PER_S
         * target.control_hosts;
-    let take_cpu = at("config.take_cpu", target.accounts) * target.changes_per_day / DAY_S / 1e6;
+    let apply_cpu = at("config.take_cpu", target.accounts) * target.changes_per_day / DAY_S / 1e6;
     let snapshot = at("config.snapshot_bytes", target.accounts);
-    let routes =
+    let route_cpu =
         target.requests_per_s / target.daemons * at("entry.route_cpu", target.workers) / 1e6;
     vec![
-        Row::new("entry: directory, a second", "B/s", read, None),
-        Row::new("entry: configuration, a second", "B/s", config, None),
+        Row::new("entry: directory, a second", "B/s", directory_bytes, None),
+        Row::new("entry: configuration, a second", "B/s", config_bytes, None),
         Row::new(
             "entry: control bytes in all",
             "B/s",
-            read + config,
+            directory_bytes + config_bytes,
             Some(target.bytes_per_s),
         ),
         Row::new(
             "sidecar: control bytes in all",
             "B/s",
-            beats + config,
+            heartbeat_bytes + config_bytes,
             Some(target.bytes_per_s),
         ),
         Row::new(
             "daemon: taking changes, share of a core",
             "core",
-            take_cpu,
+            apply_cpu,
             Some(target.core_share),
         ),
         Row::new(
             "entry: routing at the peak, share of a core",
             "core",
-            routes,
+            route_cpu,
             Some(target.core_share),
         ),
         Row::new("daemon: first document", "B", snapshot, Some(target.memory)),
     ]
 }
 
-/// What the ledger hosts carry.
+/// Estimates the load of the ledger hosts.
 fn ledger(target: &Target, at: impl Fn(&str, f64) -> f64) -> Vec<Row> {
     let share = target.replicas / target.control_hosts;
     let programs = target.programs * share;
     let calls = target.requests_per_s * share;
     let text = (target.tokens_per_s / target.requests_per_s) * target.bytes_per_token * 2.0;
     let call_bytes = at("ledger.call_bytes", text);
-    let beats = at("members.heartbeats_cpu", target.workers) * HEARTBEATS_PER_S / 1e6;
-    let readers = target.daemons * at("members.read_cpu", target.workers) / POLL_S / 1e6;
+    let heartbeat_cpu = at("members.heartbeats_cpu", target.workers) * HEARTBEATS_PER_S / 1e6;
+    let directory_cpu = target.daemons * at("members.read_cpu", target.workers) / POLL_S / 1e6;
     vec![
         Row::new(
             "ledger: commits at the peak, all groups",
@@ -166,13 +167,13 @@
         Row::new(
             "ledger host: heartbeats, share of a core",
             "core",
-            beats,
+            heartbeat_cpu,
             Some(1.0),
         ),
         Row::new(
             "ledger host: directory reads, share of a core",
             "core",
-            readers,
+            directory_cpu,
             Some(1.0),
         ),
         Row::new(
@@ -184,7 +185,7 @@
     ]
 }
 
-/// What the histories take.
+/// Estimates the storage for histories.
 fn histories(target: &Target) -> Vec<Row> {
     let longest = target.programs * target.history_tokens * target.bytes_per_token;
     let host = longest * target.replicas / target.control_hosts;
--- a/crates/quay_experiment/src/capacity/ledger.rs
+++ b/crates/quay_experiment/src/capacity/ledger.rs
@@ -1,7 +1,7 @@
-//! The ledger: time of a command, bytes of a call and of a program.
+//! Ledger measurements: CPU time and bytes per call, snapshot bytes per program.
 
 use {
-    crate::capacity::{Slope, slope::least_us},
+    crate::capacity::{Slope, slope::min_time_us},
     quay_ledger::{Command, Ledger, LedgerLimits, MemoryHistory, Op, Reply},
     quay_quorum::StateMachine as _,
     quay_types::{
@@ -11,33 +11,33 @@
     },
 };
 
-/// Programs that a group is filled with.
+/// Numbers of programs in the ledger.
 const PROGRAMS: [u32; 5] = [1_000, 4_000, 16_000, 32_000, 64_000];
 
-/// Bytes of a call's prompt and answer together.
+/// Total sizes of a call's prompt and answer, in bytes.
 const CALL_BYTES: [u32; 5] = [0, 1_024, 4_096, 16_384, 65_536];
 
-/// Calls that are timed at each size.
-const TIMED: u32 = 2_000;
+/// Maximum number of calls that are timed at each size.
+const TIMED_CALLS: u32 = 2_000;
 
-/// A ledger and its log position.
-struct Run {
+/// A ledger and the index of its last applied log entry.
+struct LedgerRun {
     ledger: Ledger<MemoryHistory>,
     index: u64,
 }
 
-impl Run {
-    /// A ledger with programs that have made one call each.
+impl LedgerRun {
+    /// Creates a ledger with `count` programs that have made one call each.
     fn with_programs(count: u32) -> Self {
-        let mut run = Self {
+        let mut ledger_run = Self {
             ledger: Ledger::new(GroupId(1), LedgerLimits::default()),
             index: 0,
         };
         for number in 0..u64::from(count) {
-            run.create(number);
-            run.call(number, 1, 0);
+            ledger_run.create(number);
+            ledger_run.run_call(number, 1, 0);
         }
-        run
+        ledger_run
     }
 
     fn apply(&mut self, op: Op) -> Reply {
@@ -56,8 +56,9 @@
         }));
     }
 
-    /// Begins and settles a call; the bytes of both commands.
-    fn call(&mut self, number: u64, call: u32, bytes: usize) -> usize {
+    /// Begins and settles a call with `bytes` of text; returns the encoded size of
+    /// both commands in bytes.
+    fn run_call(&mut self, number: u64, call: u32, bytes: usize) -> usize {
         let begin = Op::Begin(Begin {
             program: ProgramId::root(number),
             account: AccountId(number % 3_600),
@@ -71,9 +72,9 @@
             config: ConfigIndex(1),
             prompt: vec![b'x'; bytes / 2].into(),
         });
-        let mut sent = encoded(&begin);
+        let mut encoded_bytes = encoded_len(&begin);
         let Reply::Begin(BeginReply::Granted { permit, .. }) = self.apply(begin) else {
-            return sent;
+            return encoded_bytes;
         };
         let settle = Op::Settle(Settle {
             program: ProgramId::root(number),
@@ -84,19 +85,19 @@
                 answer: vec![b'y'; bytes - bytes / 2].into(),
             },
         });
-        sent += encoded(&settle);
+        encoded_bytes += encoded_len(&settle);
         self.apply(settle);
-        sent
+        encoded_bytes
     }
 }
 
-/// Key of a call.
+/// Returns the idempotency key of a call.
 fn key(number: u64, call: u32) -> RequestKey {
     RequestKey::of(AccountId(number % 3_600), &format!("{number}-{call}"))
 }
 
-/// Bytes of a command in the log and on the wire.
-fn encoded(op: &Op) -> usize {
+/// Returns the encoded size in bytes of a command in the log and on the wire.
+fn encoded_len(op: &Op) -> usize {
     let command = Command {
         at_ms: 1_700_000_000_000,
         op: op.clone(),
@@ -104,15 +105,15 @@
     postcard::to_stdvec(&command).map_or(0, |bytes| bytes.len())
 }
 
-/// The ledger's slopes.
+/// Measures the slopes of the ledger.
 pub fn slopes() -> Vec<Slope> {
     let time = Slope::measure("ledger.call_cpu", "programs", "us", &PROGRAMS, |programs| {
-        let mut run = Run::with_programs(programs);
+        let mut ledger_run = LedgerRun::with_programs(programs);
         let mut next = 1;
-        least_us(TIMED, || {
+        min_time_us(TIMED_CALLS, || {
             next += 1;
-            for number in 0..u64::from(TIMED).min(programs.into()) {
-                run.call(number, next, 0);
+            for number in 0..u64::from(TIMED_CALLS).min(programs.into()) {
+                ledger_run.run_call(number, next, 0);
             }
         })
     });
@@ -122,8 +123,8 @@
         "B",
         &CALL_BYTES,
         |bytes| {
-            let mut run = Run::with_programs(1);
-            as_f64(run.call(0, 2, usize::try_from(bytes).unwrap_or_default()))
+            let mut ledger_run = LedgerRun::with_programs(1);
+            as_f64(ledger_run.run_call(0, 2, usize::try_from(bytes).unwrap_or_default()))
         },
     );
     let snapshot = Slope::measure(
@@ -132,14 +133,16 @@
         "B",
         &PROGRAMS,
         |programs| {
-            let run = Run::with_programs(programs);
-            as_f64(postcard::to_stdvec(&run.ledger.snapshot()).map_or(0, |bytes| bytes.len()))
+            let ledger_run = LedgerRun::with_programs(programs);
+            as_f64(
+                postcard::to_stdvec(&ledger_run.ledger.snapshot()).map_or(0, |bytes| bytes.len()),
+            )
         },
     );
     vec![time, bytes, snapshot]
 }
 
-/// A count as a measured value.
+/// Converts a count to a measured value; counts beyond `u32` become `f64::MAX`.
 pub fn as_f64(count: usize) -> f64 {
     u32::try_from(count).map_or(f64::MAX, f64::from)
 }
--- a/crates/quay_experiment/src/capacity/line_fit.rs
+++ b/crates/quay_experiment/src/capacity/line_fit.rs
@@ -1,23 +1,25 @@
-//! A straight line through measured points.
+//! Least-squares fit of a straight line.
 
 use serde::Serialize;
 
-/// Fewest points that a line is drawn through.
+/// Minimum number of points for a fit.
 const MIN_POINTS: usize = 4;
 
-/// Least-squares line through points, and how far the points are from it.
+/// Least-squares line and its maximum relative residual.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct LineFit {
-    /// Rise of `y` for each unit of `x`.
+    /// Increase of `y` per unit of `x`.
     pub slope: f64,
-    /// `y` at `x` = 0.
+    /// Value of `y` at `x` = 0.
     pub intercept: f64,
-    /// Largest distance of a point from the line, as a share of the largest `y`.
+    /// Maximum absolute residual of a point, as a share of the maximum absolute
+    /// `y`.
     pub residual: f64,
 }
 
 impl LineFit {
-    /// Fits a line; `None` for fewer than four points or only one size.
+    /// Fits a line to points `(x, y)`; returns `None` if there are fewer than four
+    /// points or all have the same `x`.
     #[must_use]
     pub fn of(points: &[(f64, f64)]) -> Option<Self> {
         if points.len() < MIN_POINTS {
@@ -26,18 +28,18 @@
         let count = u32::try_from(points.len()).ok().map(f64::from)?;
         let mean_x = points.iter().map(|point| point.0).sum::<f64>() / count;
         let mean_y = points.iter().map(|point| point.1).sum::<f64>() / count;
-        let spread = points
+        let sum_squares = points
             .iter()
             .map(|point| (point.0 - mean_x).powi(2))
             .sum::<f64>();
-        if spread <= 0.0 {
+        if sum_squares <= 0.0 {
             return None;
         }
-        let product = points
+        let sum_products = points
             .iter()
             .map(|point| (point.0 - mean_x) * (point.1 - mean_y))
             .sum::<f64>();
-        let slope = product / spread;
+        let slope = sum_products / sum_squares;
         let intercept = mean_y - slope * mean_x;
         let line = Self {
             slope,
@@ -58,7 +60,7 @@
         })
     }
 
-    /// The line's value at `x`.
+    /// Returns the value of the line at `x`.
     #[must_use]
     pub fn at(&self, x: f64) -> f64 {
         self.intercept + self.slope * x
--- a/crates/quay_experiment/src/capacity/members.rs
+++ b/crates/quay_experiment/src/capacity/members.rs
@@ -1,7 +1,8 @@
-//! Membership: bytes and time of the directory against upstreams and readers.
+//! Membership measurements: bytes and CPU time of heartbeats and directory reads
+//! by number of upstreams.
 
 use {
-    crate::capacity::{Slope, ledger::as_f64, slope::least_us},
+    crate::capacity::{Slope, ledger::as_f64, slope::min_time_us},
     quay_members::{
         Directory, DirectoryView, Heartbeat, MembersReply, MembersRequest, MembersSettings,
     },
@@ -11,13 +12,14 @@
     std::time::Duration,
 };
 
-/// Upstreams in the directory.
+/// Numbers of upstreams in the directory.
 const UPSTREAMS: [u32; 5] = [75, 150, 300, 450, 600];
 
-/// Models in steady use.
+/// Number of models that the upstreams serve.
 const MODELS: u32 = 21;
 
-/// A directory in which every upstream has announced itself at `now`.
+/// Returns a directory that has received an announcement of every upstream at
+/// `now`.
 fn directory(upstreams: u32, now: Time) -> Directory {
     let mut directory = Directory::new(Time::ZERO, 1, MembersSettings::default());
     for number in 0..upstreams {
@@ -53,7 +55,7 @@
     }
 }
 
-/// A heartbeat after which the load has changed.
+/// Returns a heartbeat whose load differs from the previous one.
 fn heartbeat(number: u32, sequence: u64) -> Heartbeat {
     Heartbeat {
         upstream: UpstreamId::of(&format!("engine-{number}")),
@@ -65,43 +67,45 @@
     }
 }
 
-/// Lets every upstream send a heartbeat.
-fn beat(directory: &mut Directory, upstreams: u32, now: Time, sequence: u64) {
+/// Sends a heartbeat from every upstream to the directory.
+fn send_heartbeats(directory: &mut Directory, upstreams: u32, now: Time, sequence: u64) {
     for number in 0..upstreams {
         directory.handle(now, MembersRequest::Heartbeat(heartbeat(number, sequence)));
     }
 }
 
-/// Bytes of one read of the directory after every load has changed.
+/// Returns the encoded size in bytes of a directory read after the load of every
+/// upstream has changed.
 fn read_bytes(upstreams: u32) -> f64 {
     let mut directory = directory(upstreams, Time::ZERO);
     let mut view = DirectoryView::default();
     let mut now = Time::ZERO;
-    // The first reads take the lines; the last one takes changed loads only.
+    // The first reads return announcements; the last one returns only the
+    // changed loads.
     for sequence in 2..40 {
         now = now + Duration::from_secs(1);
-        beat(&mut directory, upstreams, now, sequence);
+        send_heartbeats(&mut directory, upstreams, now, sequence);
         let changes = directory.changes(now, &view.next_request(7));
         let reply = MembersReply::Changes(changes.clone());
-        let bytes = postcard::to_stdvec(&reply).map_or(0, |bytes| bytes.len());
+        let encoded_bytes = postcard::to_stdvec(&reply).map_or(0, |bytes| bytes.len());
         view.apply(now, changes);
         if sequence == 39 {
-            return as_f64(bytes);
+            return as_f64(encoded_bytes);
         }
     }
     f64::NAN
 }
 
-/// Slopes of membership.
+/// Measures the slopes of membership.
 pub fn slopes() -> Vec<Slope> {
-    let bytes = Slope::measure(
+    let read_size = Slope::measure(
         "members.read_bytes",
         "upstreams",
         "B",
         &UPSTREAMS,
         read_bytes,
     );
-    let beat_bytes = Slope::measure(
+    let heartbeat_bytes = Slope::measure(
         "members.heartbeat_bytes",
         "upstreams",
         "B",
@@ -111,7 +115,7 @@
             as_f64(postcard::to_stdvec(&req).map_or(0, |bytes| bytes.len()))
         },
     );
-    let beats = Slope::measure(
+    let heartbeat_cpu = Slope::measure(
         "members.heartbeats_cpu",
         "upstreams",
         "us",
@@ -119,9 +123,9 @@
         |upstreams| {
             let mut directory = directory(upstreams, Time::ZERO);
             let mut sequence = 1;
-            least_us(1, || {
+            min_time_us(1, || {
                 sequence += 1;
-                beat(
+                send_heartbeats(
                     &mut directory,
                     upstreams,
                     Time::from_millis(sequence * 100),
@@ -130,15 +134,15 @@
             })
         },
     );
-    let reads = Slope::measure(
+    let read_cpu = Slope::measure(
         "members.read_cpu",
         "upstreams",
         "us",
         &UPSTREAMS,
         |upstreams| {
             let mut directory = directory(upstreams, Time::ZERO);
-            beat(&mut directory, upstreams, Time::from_millis(100), 2);
-            least_us(100, || {
+            send_heartbeats(&mut directory, upstreams, Time::from_millis(100), 2);
+            min_time_us(100, || {
                 for reader in 0..100 {
                     let changes = directory.changes(
                         Time::from_millis(200),
@@ -149,5 +153,5 @@
             })
         },
     );
-    vec![bytes, beat_bytes, beats, reads]
+    vec![read_size, heartbeat_bytes, heartbeat_cpu, read_cpu]
 }
--- a/crates/quay_experiment/src/capacity/mod.rs
+++ b/crates/quay_experiment/src/capacity/mod.rs
@@ -1,7 +1,7 @@
-//! Measured slopes, and what they come to at the size to design for.
+//! Capacity planning: measures how cost grows with size, and extrapolates to the
+//! target size.
 //!
-//! Byte counts are exact and the same on every run; times are measured and are
-//! not.
+//! Byte counts are exact and the same in every run; times vary between runs.
 
 mod configuration;
 mod estimate;
@@ -25,22 +25,24 @@
     std::{io, path::Path},
 };
 
-/// Everything that one run measured and worked out.
+/// Measurements and estimates of one run.
 #[derive(Debug, Clone, Serialize)]
 pub struct CapacityReport {
-    /// The size that the figures are for.
+    /// Size of the system that the estimates are for.
     pub target: Target,
-    /// Measured slopes.
+    /// Measured cost by size, one for each quantity.
     pub slopes: Vec<Slope>,
-    /// Figures at the target.
+    /// Estimates at the target size.
     pub rows: Vec<Row>,
 }
 
-/// Measures every slope; `scratch` is an empty folder for the log's files.
+/// Measures all slopes and computes the estimates; `scratch` is an empty folder
+/// for log files.
 ///
 /// # Errors
 ///
-/// Fails if the scratch folder can't be written.
+/// Returns an error if log files cannot be written to or read from the scratch
+/// folder.
 pub fn run_capacity(scratch: &Path) -> io::Result<CapacityReport> {
     let target = Target::default();
     let mut slopes = ledger::slopes();
--- a/crates/quay_experiment/src/capacity/policy.rs
+++ b/crates/quay_experiment/src/capacity/policy.rs
@@ -1,7 +1,7 @@
-//! Policy: time of a routing decision and of an admission.
+//! Policy measurements: CPU time of a routing decision and of an admission.
 
 use {
-    crate::capacity::{Slope, slope::least_us},
+    crate::capacity::{Slope, slope::min_time_us},
     quay_policy::{
         Admission, AdmissionSettings, ExpectedTime, FixedLimit, RouteRequest, RouteSettings,
         Router, Ticket, TicketId, Verdict,
@@ -13,19 +13,19 @@
     std::{collections::VecDeque, time::Duration},
 };
 
-/// Upstreams that serve the model.
+/// Numbers of upstreams that serve the model.
 const UPSTREAMS: [u32; 5] = [75, 150, 300, 600, 1_200];
 
-/// Calls in the queue.
+/// Numbers of calls in the admission queue.
 const QUEUED: [u32; 5] = [125, 250, 500, 1_000, 2_000];
 
-/// Blocks of a prompt of 6,400 tokens.
+/// Number of blocks in a prompt of 6,400 tokens.
 const BLOCKS: u64 = 100;
 
-/// Decisions that are timed at each size.
-const TIMED: u32 = 500;
+/// Number of decisions that are timed at each size.
+const TIMED_DECISIONS: u32 = 500;
 
-/// A router that knows so many upstreams.
+/// Returns a router that knows the given number of upstreams.
 fn router(upstreams: u32) -> Router<ExpectedTime> {
     let mut router = Router::new(RouteSettings::default(), "a");
     for number in 0..upstreams {
@@ -49,12 +49,12 @@
     router
 }
 
-/// Time of one routing decision.
+/// Returns the time of one routing decision in microseconds.
 fn route(upstreams: u32) -> f64 {
     let mut router = router(upstreams);
     let mut turn = 0;
-    least_us(TIMED, || {
-        for _ in 0..TIMED {
+    min_time_us(TIMED_DECISIONS, || {
+        for _ in 0..TIMED_DECISIONS {
             turn += 1;
             let blocks: Vec<u64> = (0..BLOCKS).map(|depth| (turn % 64) << 32 | depth).collect();
             let req = RouteRequest {
@@ -80,7 +80,8 @@
     }
 }
 
-/// Time of one admission: a call enters, one ends, one starts.
+/// Returns the time of one admission in microseconds: a call is queued, a running
+/// call ends, and a queued call is admitted.
 fn admit(queued: u32) -> f64 {
     let mut admission = Admission::<FixedLimit>::new(AdmissionSettings {
         shed_new_after: Duration::ZERO,
@@ -94,8 +95,8 @@
         admission.enqueue(Time::ZERO, ticket(id));
         running.extend(admitted(&admission.poll(Time::ZERO)));
     }
-    least_us(TIMED, || {
-        for _ in 0..TIMED {
+    min_time_us(TIMED_DECISIONS, || {
+        for _ in 0..TIMED_DECISIONS {
             id += 1;
             admission.enqueue(Time::ZERO, ticket(id));
             if let Some(ended) = running.pop_front() {
@@ -106,7 +107,7 @@
     })
 }
 
-/// The calls that may run.
+/// Returns the calls that are admitted by the verdicts.
 fn admitted(verdicts: &[Verdict]) -> Vec<TicketId> {
     let admitted = verdicts.iter().filter_map(|verdict| match verdict {
         Verdict::Admit(id) => Some(*id),
@@ -115,7 +116,7 @@
     admitted.collect()
 }
 
-/// Slopes of policy.
+/// Measures the slopes of the policy.
 pub fn slopes() -> Vec<Slope> {
     vec![
         Slope::measure("entry.route_cpu", "upstreams", "us", &UPSTREAMS, route),
--- a/crates/quay_experiment/src/capacity/slope.rs
+++ b/crates/quay_experiment/src/capacity/slope.rs
@@ -1,4 +1,4 @@
-//! One measured slope with its points.
+//! Measurements of a quantity at several sizes, with a fitted line.
 
 use {
     crate::capacity::LineFit,
@@ -6,36 +6,36 @@
     std::{fmt, time::Instant},
 };
 
-/// Times that a measured step is taken; the least time counts, since other work
-/// on the machine only ever adds.
+/// Number of times that a step is timed. The minimum is used, because other load
+/// on the machine can only increase the time.
 const ROUNDS: u32 = 3;
 
-/// One measured point.
+/// Measurement at one size.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Sample {
-    /// Size that was tried.
+    /// Size of the input.
     pub size: f64,
-    /// What was measured at that size.
+    /// Measured value.
     pub value: f64,
 }
 
-/// A measured slope.
+/// A quantity measured at several sizes.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Slope {
-    /// Role and quantity, such as `ledger.apply`.
+    /// Component and quantity, such as `ledger.call_cpu`.
     pub name: Box<str>,
-    /// Unit of the sizes.
+    /// Unit of the size.
     pub per: Box<str>,
-    /// Unit of the values.
+    /// Unit of the value.
     pub unit: Box<str>,
-    /// The points.
+    /// Measurements in order of size.
     pub samples: Vec<Sample>,
-    /// Line through the points; `None` for fewer than four.
+    /// Line fitted to the measurements; `None` if there are fewer than four.
     pub fit: Option<LineFit>,
 }
 
 impl Slope {
-    /// Measures `value` at each size.
+    /// Calls `value` for each size and fits a line to the results.
     pub fn measure(
         name: &str,
         per: &str,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The fitted value at `size`.
+    /// Returns the fitted value at `size`; NaN if there is no fit.
     #[must_use]
     pub fn at(&self, size: f64) -> f64 {
         self.fit.map_or(f64::NAN, |fit| fit.at(size))
@@ -91,9 +91,9 @@
     }
 }
 
-/// Least time of a few rounds of `step`, in microseconds, for each of the
-/// `count` things that one round does.
-pub fn least_us(count: u32, mut step: impl FnMut()) -> f64 {
+/// Returns the minimum time of several runs of `step` in microseconds, divided by
+/// the `count` operations that one run performs.
+pub fn min_time_us(count: u32, mut step: impl FnMut()) -> f64 {
     let rounds = (0..ROUNDS).map(|_| {
         let started = Instant::now();
         step();
--- a/crates/quay_experiment/src/capacity/target.rs
+++ b/crates/quay_experiment/src/capacity/target.rs
@@ -1,39 +1,40 @@
-//! The size to design for.
+//! Target size for capacity planning.
 
 use serde::Serialize;
 
-/// Numbers of the system two years from now.
+/// Expected size of the system in two years, and the resource limits of the
+/// control traffic.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Target {
-    /// Daemons before the upstreams.
+    /// Number of daemons that run in front of the upstreams.
     pub daemons: f64,
-    /// Upstreams.
+    /// Number of upstreams.
     pub workers: f64,
-    /// Requests a second at the peak.
+    /// Peak number of requests per second.
     pub requests_per_s: f64,
-    /// Tokens generated a second at the peak.
+    /// Peak number of generated tokens per second.
     pub tokens_per_s: f64,
-    /// Programs under way.
+    /// Number of concurrent programs.
     pub programs: f64,
-    /// Turns of a long program.
+    /// Number of turns in a long program.
     pub turns: f64,
-    /// Tokens in a long history.
+    /// Number of tokens in a long history.
     pub history_tokens: f64,
-    /// Accounts.
+    /// Number of accounts.
     pub accounts: f64,
-    /// Changes of configuration a day.
+    /// Number of configuration changes per day.
     pub changes_per_day: f64,
-    /// Hosts set aside for control.
+    /// Number of hosts dedicated to the control plane.
     pub control_hosts: f64,
-    /// Replicas of a group.
+    /// Number of replicas of a group.
     pub replicas: f64,
-    /// Bytes of text in a token.
+    /// Bytes of text per token.
     pub bytes_per_token: f64,
-    /// Share of a core that control may take of a daemon.
+    /// Share of a CPU core that control tasks may use in a daemon.
     pub core_share: f64,
-    /// Memory that control may take of a daemon, in bytes.
+    /// Memory that control data may use in a daemon, in bytes.
     pub memory: f64,
-    /// Bytes a second that control may take of a daemon.
+    /// Control traffic that a daemon may cause, in bytes per second.
     pub bytes_per_s: f64,
 }
 
