--- a/crates/quay_link/src/endpoint.rs
+++ b/crates/quay_link/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! Sets up an endpoint: TLS, times and limits of its connections.
+//! Configures QUIC endpoints: TLS, time-outs and connection limits.
 
 use {
     crate::{Identity, LinkError, LinkSettings},
@@ -12,21 +12,22 @@
     std::{net::Ipv4Addr, sync::Arc, time::Duration},
 };
 
-/// Protocol name in the TLS handshake.
+/// ALPN protocol identifier negotiated in the TLS handshake.
 const ALPN: &[u8] = b"sapphirequay/1";
 
-/// Round trip that is assumed of a new connection: a lost first packet is sent
-/// again after three times as long.
+/// Initial RTT estimate of a new connection. A lost first packet is
+/// retransmitted after three times this value.
 const INITIAL_RTT: Duration = Duration::from_millis(40);
 
-/// Largest datagram that is tried, in bytes; paths with jumbo frames take it.
-const LARGEST_DATAGRAM: u16 = 8_900;
+/// Upper bound of MTU discovery in bytes; fits paths with jumbo frames.
+const MAX_DATAGRAM_BYTES: u16 = 8_900;
 
-/// Bytes that may be under way on a new connection: about what a link of
-/// 600 Mbit/s carries in a round trip between data centres.
-const INITIAL_WINDOW: u64 = 200_000;
+/// Initial congestion window in bytes: about the bandwidth-delay product of a
+/// 600 Mbit/s path between data centres.
+const INITIAL_WINDOW_BYTES: u64 = 200_000;
 
-/// Binds the endpoint, as a server too if the settings name an address.
+/// Binds the endpoint's socket. The endpoint accepts connections only if the
+/// settings contain a listen address.
 pub(crate) fn bind(settings: &LinkSettings) -> Result<Endpoint, LinkError> {
     let client = client_config(settings)?;
     let (server, addr) = match settings.listen {
@@ -40,31 +41,31 @@
     Ok(endpoint)
 }
 
-/// What all connections of an endpoint share. The reset key comes from the
-/// private key, so that a process that has restarted can tell its peers that
-/// their connections are gone.
+/// Settings shared by all connections of an endpoint. The stateless reset key
+/// is derived from the private key, so that a restarted process can reset the
+/// connections that peers still hold to its predecessor.
 fn endpoint_config(settings: &LinkSettings) -> Result<EndpointConfig, LinkError> {
     let secret = settings.identity.key.secret_der();
     let key = ring::hmac::Key::new(ring::hmac::HMAC_SHA256, secret);
     let mut config = EndpointConfig::new(Arc::new(key));
     config
-        .max_udp_payload_size(LARGEST_DATAGRAM)
+        .max_udp_payload_size(MAX_DATAGRAM_BYTES)
         .map_err(|err| keys_error(&err))?;
     Ok(config)
 }
 
-/// Times and limits of a connection.
-fn transport(settings: &LinkSettings) -> Result<Arc<TransportConfig>, LinkError> {
+/// Time-outs and limits of a connection.
+fn transport_config(settings: &LinkSettings) -> Result<Arc<TransportConfig>, LinkError> {
     let idle = IdleTimeout::try_from(settings.idle_timeout)
         .map_err(|err| LinkError::Keys(format!("idle timeout: {err}").into()))?;
     let mut transport = TransportConfig::default();
     transport.max_idle_timeout(Some(idle));
     transport.initial_rtt(INITIAL_RTT);
     let mut mtu = MtuDiscoveryConfig::default();
-    mtu.upper_bound(LARGEST_DATAGRAM);
+    mtu.upper_bound(MAX_DATAGRAM_BYTES);
     transport.mtu_discovery_config(Some(mtu));
     let mut congestion = CubicConfig::default();
-    congestion.initial_window(INITIAL_WINDOW);
+    congestion.initial_window(INITIAL_WINDOW_BYTES);
     transport.congestion_controller_factory(Arc::new(congestion));
     transport.keep_alive_interval(Some(settings.keep_alive));
     transport.max_concurrent_bidi_streams(VarInt::from_u32(16_384));
@@ -72,8 +73,8 @@
     Ok(Arc::new(transport))
 }
 
-/// The trusted root as a store.
-fn roots(identity: &Identity) -> Result<Arc<RootCertStore>, LinkError> {
+/// Builds the store of trusted root certificates.
+fn root_store(identity: &Identity) -> Result<Arc<RootCertStore>, LinkError> {
     let mut roots = RootCertStore::empty();
     for root in &identity.roots {
         roots.add(root.clone()).map_err(|err| keys_error(&err))?;
@@ -81,7 +82,7 @@
     Ok(Arc::new(roots))
 }
 
-/// TLS for links that are opened here.
+/// TLS and transport settings of outgoing connections.
 pub(crate) fn client_config(settings: &LinkSettings) -> Result<ClientConfig, LinkError> {
     let identity = &settings.identity;
     let mut tls = rustls::ClientConfig::builder_with_provider(Arc::new(
@@ -89,23 +90,25 @@
     ))
     .with_protocol_versions(&[&rustls::version::TLS13])
     .map_err(|err| keys_error(&err))?
-    .with_root_certificates(roots(identity)?)
+    .with_root_certificates(root_store(identity)?)
     .with_client_auth_cert(identity.chain.clone(), identity.key.clone_key())
     .map_err(|err| keys_error(&err))?;
     tls.alpn_protocols = vec![ALPN.to_vec()];
     let quic = QuicClientConfig::try_from(tls).map_err(|err| keys_error(&err))?;
     let mut config = ClientConfig::new(Arc::new(quic));
-    config.transport_config(transport(settings)?);
+    config.transport_config(transport_config(settings)?);
     Ok(config)
 }
 
-/// TLS for links that are accepted here; peers must show a certificate.
+/// TLS and transport settings of incoming connections; peers must present a
+/// certificate.
 pub(crate) fn server_config(settings: &LinkSettings) -> Result<ServerConfig, LinkError> {
     let identity = &settings.identity;
     let provider = Arc::new(rustls::crypto::ring::default_provider());
-    let verifier = WebPkiClientVerifier::builder_with_provider(roots(identity)?, provider.clone())
-        .build()
-        .map_err(|err| keys_error(&err))?;
+    let verifier =
+        WebPkiClientVerifier::builder_with_provider(root_store(identity)?, provider.clone())
+            .build()
+            .map_err(|err| keys_error(&err))?;
     let mut tls = rustls::ServerConfig::builder_with_provider(provider)
         .with_protocol_versions(&[&rustls::version::TLS13])
         .map_err(|err| keys_error(&err))?
@@ -115,11 +118,11 @@
     tls.alpn_protocols = vec![ALPN.to_vec()];
     let quic = QuicServerConfig::try_from(tls).map_err(|err| keys_error(&err))?;
     let mut config = ServerConfig::with_crypto(Arc::new(quic));
-    config.transport_config(transport(settings)?);
+    config.transport_config(transport_config(settings)?);
     Ok(config)
 }
 
-/// Wraps an error of the TLS library.
+/// Converts an error of the TLS or QUIC library.
 fn keys_error(err: &dyn std::fmt::Display) -> LinkError {
     LinkError::Keys(err.to_string().into())
 }
--- a/crates/quay_link/src/error.rs
+++ b/crates/quay_link/src/error.rs
@@ -1,28 +1,32 @@
-//! Ways in which a link can fail.
+//! Errors of links.
 
 use std::{fmt, io};
 
-/// Why a link could not be set up or used.
+/// Error while setting up or using a link.
 #[derive(Debug)]
 pub enum LinkError {
-    /// A file or socket could not be used.
+    /// I/O error on a file or socket.
     Io(io::Error),
-    /// A key or certificate is unusable; says which and why.
+    /// A key, certificate or setting is invalid; the text names it and the
+    /// reason.
     Keys(Box<str>),
-    /// The connection was not established; nothing was sent on it.
+    /// The connection or stream could not be opened; nothing was sent.
     Connect(Box<str>),
-    /// The stream broke after it was opened.
+    /// The stream failed after it was opened.
     Broken(Box<str>),
-    /// The peer finished the stream.
+    /// The peer closed the stream cleanly.
     Finished,
-    /// Nothing arrived within the silence limit.
+    /// No frame arrived within [`LinkSettings::receive_timeout`].
+    ///
+    /// [`LinkSettings::receive_timeout`]: crate::LinkSettings::receive_timeout
     Silent,
-    /// A frame is larger than the limit.
+    /// A frame exceeds [`MAX_FRAME_BYTES`](crate::MAX_FRAME_BYTES).
     TooLarge {
-        /// Size that the peer named, in bytes.
+        /// Size of the frame's body in bytes.
         bytes: usize,
     },
-    /// A frame does not decode as the type that was expected.
+    /// A value could not be encoded, or a frame could not be decoded as the
+    /// expected type.
     Decode(postcard::Error),
     /// The link thread has stopped.
     Stopped,
@@ -31,14 +35,14 @@
 impl fmt::Display for LinkError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Io(err) => write!(f, "link i/o: {err}"),
+            Self::Io(err) => write!(f, "link I/O error: {err}"),
             Self::Keys(text) => write!(f, "link keys: {text}"),
-            Self::Connect(text) => write!(f, "link not connected: {text}"),
-            Self::Broken(text) => write!(f, "link broken: {text}"),
-            Self::Finished => f.write_str("link stream finished"),
-            Self::Silent => f.write_str("link silent"),
-            Self::TooLarge { bytes } => write!(f, "frame of {bytes} bytes is over the limit"),
-            Self::Decode(err) => write!(f, "frame does not decode: {err}"),
+            Self::Connect(text) => write!(f, "link connection failed: {text}"),
+            Self::Broken(text) => write!(f, "link stream failed: {text}"),
+            Self::Finished => f.write_str("link stream closed by the peer"),
+            Self::Silent => f.write_str("no frame arrived within the link's receive timeout"),
+            Self::TooLarge { bytes } => write!(f, "link frame of {bytes} bytes exceeds the limit"),
+            Self::Decode(err) => write!(f, "link frame could not be encoded or decoded: {err}"),
             Self::Stopped => f.write_str("link thread stopped"),
         }
     }
--- a/crates/quay_link/src/identity.rs
+++ b/crates/quay_link/src/identity.rs
@@ -1,4 +1,5 @@
-//! Who a process is to its peers: certificate, private key and trusted root.
+//! Identity of a process on its links: certificate, private key and trusted
+//! roots.
 
 use {
     crate::LinkError,
@@ -6,30 +7,30 @@
     std::fmt,
 };
 
-/// Suffix of the DNS names that carry a role.
+/// Suffix of the DNS names in a certificate that encode a role.
 const ROLE_SUFFIX: &str = ".sapphirequay";
 
-/// Suffix of the DNS name that carries the holder's own name.
+/// Suffix of the DNS name in a certificate that encodes its holder's name.
 const HOLDER_SUFFIX: &str = ".holder.sapphirequay";
 
-/// Longest name of a holder, as long as a DNS label.
+/// Maximum length of a holder's name: that of a DNS label.
 const MAX_HOLDER_BYTES: usize = 63;
 
-/// What a certificate allows its holder to act as.
+/// Role that a certificate authorises its holder to act in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum LinkRole {
-    /// Takes callers' requests.
+    /// Accepts callers' requests.
     Entry,
-    /// Stands before one upstream.
+    /// Proxies requests to one upstream.
     Sidecar,
-    /// Keeps durable state.
+    /// Stores durable state.
     Ledger,
     /// Changes configuration and drains upstreams.
     Operator,
 }
 
 impl LinkRole {
-    /// Every role.
+    /// All roles.
     pub const ALL: [Self; 4] = [Self::Entry, Self::Sidecar, Self::Ledger, Self::Operator];
 
     /// Name of the role in settings and file names.
@@ -43,13 +44,13 @@
         }
     }
 
-    /// The DNS name that a certificate of this role carries.
+    /// DNS name in the certificates of this role.
     #[must_use]
     pub fn dns_name(self) -> String {
         format!("{}{ROLE_SUFFIX}", self.name())
     }
 
-    /// The role that a DNS name stands for, if any.
+    /// Role encoded in a DNS name, if any.
     pub(crate) fn from_dns_name(name: &str) -> Option<Self> {
         let role = name.strip_suffix(ROLE_SUFFIX)?;
         Self::ALL.into_iter().find(|known| known.name() == role)
@@ -62,19 +63,19 @@
     }
 }
 
-/// Certificate, private key and trusted root of one process.
+/// Certificate chain, private key and trusted roots of one process.
 pub struct Identity {
-    /// Roots of which peers' certificates must descend from one: two while
-    /// a new root takes the place of an old one.
+    /// Trusted roots; a peer's certificate must chain to one of them. Contains
+    /// two roots during a root rotation.
     pub(crate) roots: Vec<CertificateDer<'static>>,
-    /// Own certificate, then its issuers.
+    /// Certificate of the process, then its issuers.
     pub(crate) chain: Vec<CertificateDer<'static>>,
-    /// Private key of the first certificate.
+    /// Private key of the first certificate in `chain`.
     pub(crate) key: PrivateKeyDer<'static>,
 }
 
 impl Identity {
-    /// A second copy, for a second endpoint.
+    /// Copies the identity for use by another endpoint.
     #[must_use]
     pub fn duplicate(&self) -> Self {
         Self {
@@ -87,38 +88,41 @@
 
 impl fmt::Debug for Identity {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        // The private key stays out of logs.
+        // Keeps the private key out of logs.
         f.debug_struct("Identity")
             .field("certificates", &self.chain.len())
             .finish_non_exhaustive()
     }
 }
 
-/// The DNS name by which a certificate carries its holder's name.
+/// DNS name that encodes a holder's name in a certificate.
 ///
 /// # Errors
 ///
-/// [`LinkError::Keys`] unless the name is lower-case letters, digits and dashes.
+/// [`LinkError::Keys`] unless the name consists of 1 to 63 lower-case letters,
+/// digits and dashes.
 pub(crate) fn holder_dns_name(name: &str) -> Result<String, LinkError> {
-    let plain = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
-    if name.is_empty() || name.len() > MAX_HOLDER_BYTES || !name.chars().all(plain) {
-        let text = format!("name {name:?}: use a-z, 0-9 and -, at most {MAX_HOLDER_BYTES} bytes");
+    let allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
+    if name.is_empty() || name.len() > MAX_HOLDER_BYTES || !name.chars().all(allowed) {
+        let text = format!(
+            "invalid holder name {name:?}: use 1 to {MAX_HOLDER_BYTES} characters of a-z, 0-9 and -"
+        );
         return Err(LinkError::Keys(text.into()));
     }
     Ok(format!("{name}{HOLDER_SUFFIX}"))
 }
 
-/// What a certificate says of its holder.
+/// Holder of a certificate.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(crate) struct Holder {
-    /// What the holder may act as.
+    /// Roles granted to the holder.
     pub roles: Vec<LinkRole>,
-    /// The holder's own name, if the certificate carries one.
+    /// Name of the holder, if the certificate contains one.
     pub name: Option<Box<str>>,
 }
 
-/// Reads a certificate that TLS has verified already.
-pub(crate) fn holder_of(cert: &CertificateDer<'_>) -> Result<Holder, LinkError> {
+/// Extracts the holder from a certificate that TLS has already verified.
+pub(crate) fn certificate_holder(cert: &CertificateDer<'_>) -> Result<Holder, LinkError> {
     let cert = webpki::EndEntityCert::try_from(cert)
         .map_err(|err| LinkError::Keys(format!("peer certificate: {err}").into()))?;
     let mut holder = Holder::default();
--- a/crates/quay_link/src/keys.rs
+++ b/crates/quay_link/src/keys.rs
@@ -1,4 +1,4 @@
-//! Key files, and keys made on the spot for development.
+//! Key files, and generated keys for development.
 
 use {
     crate::{Identity, LinkError, LinkRole, identity::holder_dns_name},
@@ -14,19 +14,19 @@
     },
 };
 
-/// Where a process finds its keys.
+/// Paths of the key files of a process.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct KeyFiles {
-    /// PEM file of the trusted root.
+    /// PEM file of the trusted roots.
     pub root: PathBuf,
-    /// PEM file of the own certificate and its issuers.
+    /// PEM file of the process's certificate and its issuers.
     pub cert: PathBuf,
     /// PEM file of the private key.
     pub key: PathBuf,
 }
 
 impl KeyFiles {
-    /// The files that `sapphirequay keys init` writes for `role`.
+    /// Paths in `dir` of the files that `sapphirequay keys init` writes for `role`.
     #[must_use]
     pub fn for_role(dir: &Path, role: LinkRole) -> Self {
         Self {
@@ -36,7 +36,8 @@
         }
     }
 
-    /// Digest of the files' contents, by which a change is seen.
+    /// Digest of the files' contents, used to detect changes. An unreadable file
+    /// counts as empty.
     #[must_use]
     pub fn digest(&self) -> ContentDigest {
         let files = [&self.root, &self.cert, &self.key];
@@ -50,14 +51,15 @@
     ///
     /// [`LinkError::Keys`] names the file that is missing or malformed.
     pub fn load(&self) -> Result<Identity, LinkError> {
-        let roots = certificates(&self.root)?;
-        let chain = certificates(&self.cert)?;
+        let roots = read_certificates(&self.root)?;
+        let chain = read_certificates(&self.cert)?;
         let key =
-            PrivateKeyDer::from_pem_file(&self.key).map_err(|err| unusable(&self.key, &err))?;
+            PrivateKeyDer::from_pem_file(&self.key).map_err(|err| file_error(&self.key, &err))?;
         Ok(Identity { roots, chain, key })
     }
 
-    /// The files that `sapphirequay keys init` writes for an operator.
+    /// Paths in `dir` of the files that `sapphirequay keys init` writes for the
+    /// operator `name`.
     #[must_use]
     pub fn for_operator(dir: &Path, name: &str) -> Self {
         Self {
@@ -68,27 +70,27 @@
     }
 }
 
-/// Every certificate in a file, which must hold one at least.
-fn certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, LinkError> {
+/// Reads all certificates of a PEM file; fails if there are none.
+fn read_certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, LinkError> {
     let certs = CertificateDer::pem_file_iter(path)
         .and_then(Iterator::collect::<Result<Vec<_>, _>>)
-        .map_err(|err| unusable(path, &err))?;
+        .map_err(|err| file_error(path, &err))?;
     if certs.is_empty() {
-        return Err(unusable(path, &"no certificate in the file"));
+        return Err(file_error(path, &"the file contains no certificate"));
     }
     Ok(certs)
 }
 
-/// Says which file can't be used.
-fn unusable(path: &Path, why: &dyn fmt::Display) -> LinkError {
-    LinkError::Keys(format!("{}: {why}", path.display()).into())
+/// Error for the invalid or unreadable file at `path`.
+fn file_error(path: &Path, reason: &dyn fmt::Display) -> LinkError {
+    LinkError::Keys(format!("{}: {reason}", path.display()).into())
 }
 
-/// A root and its issuer key, made on the spot.
+/// Generated root certificate and its signing key, for development and tests.
 pub struct DevelopmentKeys {
-    /// The root in PEM.
+    /// Root certificate in PEM.
     root_pem: String,
-    /// Signs certificates of the roles.
+    /// Issuer that signs the certificates of processes and operators.
     issuer: Issuer<'static, KeyPair>,
 }
 
@@ -99,13 +101,14 @@
 }
 
 impl DevelopmentKeys {
-    /// Makes a new root.
+    /// Generates a new root certificate and key.
     ///
     /// # Errors
     ///
-    /// [`LinkError::Keys`] if the system has no random numbers.
+    /// [`LinkError::Keys`] if key generation fails, for instance because the
+    /// system's random number generator is unavailable.
     pub fn generate() -> Result<Self, LinkError> {
-        let mut params = CertificateParams::new(Vec::new()).map_err(|err| failed(&err))?;
+        let mut params = CertificateParams::new(Vec::new()).map_err(|err| keys_error(&err))?;
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
         params.key_usages = vec![
             KeyUsagePurpose::KeyCertSign,
@@ -114,66 +117,69 @@
         params
             .distinguished_name
             .push(DnType::CommonName, "sapphirequay development root");
-        let key = KeyPair::generate().map_err(|err| failed(&err))?;
-        let root = params.self_signed(&key).map_err(|err| failed(&err))?;
+        let key = KeyPair::generate().map_err(|err| keys_error(&err))?;
+        let root = params.self_signed(&key).map_err(|err| keys_error(&err))?;
         Ok(Self {
             root_pem: root.pem(),
             issuer: Issuer::new(params, key),
         })
     }
 
-    /// Makes a certificate for a role and the name of its holder, and returns
-    /// it with its key, both in PEM.
+    /// Issues a certificate for a role and a holder's name. Returns the
+    /// certificate and its key, both in PEM.
     fn issue(&self, role: LinkRole, holder: &str) -> Result<(String, String), LinkError> {
         let names = vec![role.dns_name(), holder_dns_name(holder)?];
-        let mut params = CertificateParams::new(names).map_err(|err| failed(&err))?;
+        let mut params = CertificateParams::new(names).map_err(|err| keys_error(&err))?;
         params.distinguished_name.push(DnType::CommonName, holder);
         params.extended_key_usages = vec![
             ExtendedKeyUsagePurpose::ServerAuth,
             ExtendedKeyUsagePurpose::ClientAuth,
         ];
-        let key = KeyPair::generate().map_err(|err| failed(&err))?;
+        let key = KeyPair::generate().map_err(|err| keys_error(&err))?;
         let cert = params
             .signed_by(&key, &self.issuer)
-            .map_err(|err| failed(&err))?;
+            .map_err(|err| keys_error(&err))?;
         Ok((cert.pem(), key.serialize_pem()))
     }
 
-    /// Makes an identity for `role` without writing a file.
+    /// Generates an identity for `role`, named after the role, without writing
+    /// files.
     ///
     /// # Errors
     ///
-    /// [`LinkError::Keys`] if a key can't be made.
+    /// [`LinkError::Keys`] if key generation fails.
     pub fn identity(&self, role: LinkRole) -> Result<Identity, LinkError> {
         self.named_identity(role, role.name())
     }
 
-    /// Makes an identity for `role` whose certificate carries a name.
+    /// Generates an identity for `role` whose certificate contains the name
+    /// `holder`.
     ///
     /// # Errors
     ///
-    /// [`LinkError::Keys`] if a key can't be made or the name is unusable.
+    /// [`LinkError::Keys`] if key generation fails or the name is invalid.
     pub fn named_identity(&self, role: LinkRole, holder: &str) -> Result<Identity, LinkError> {
         let (cert, key) = self.issue(role, holder)?;
         Ok(Identity {
             roots: vec![
                 CertificateDer::from_pem_slice(self.root_pem.as_bytes())
-                    .map_err(|err| failed(&err))?,
+                    .map_err(|err| keys_error(&err))?,
             ],
             chain: vec![
-                CertificateDer::from_pem_slice(cert.as_bytes()).map_err(|err| failed(&err))?,
+                CertificateDer::from_pem_slice(cert.as_bytes()).map_err(|err| keys_error(&err))?,
             ],
-            key: PrivateKeyDer::from_pem_slice(key.as_bytes()).map_err(|err| failed(&err))?,
+            key: PrivateKeyDer::from_pem_slice(key.as_bytes()).map_err(|err| keys_error(&err))?,
         })
     }
 
-    /// Writes the root, and a certificate and key for each role and for each
-    /// operator that is named, into `dir`.
+    /// Writes the root certificate, and a certificate and key for each role and
+    /// each of `operators`, into `dir`.
     ///
     /// # Errors
     ///
-    /// [`LinkError::Io`] if the folder can't be written or holds keys already:
-    /// nothing is overwritten. [`LinkError::Keys`] if a name is unusable.
+    /// [`LinkError::Io`] if the folder can't be written or already contains one
+    /// of the files; existing files are never overwritten. [`LinkError::Keys`]
+    /// if a name is invalid.
     pub fn write(&self, dir: &Path, operators: &[impl AsRef<str>]) -> Result<(), LinkError> {
         fs::create_dir_all(dir)?;
         write_new(&dir.join("root.pem"), &self.root_pem)?;
@@ -186,7 +192,7 @@
         Ok(())
     }
 
-    /// Writes a certificate and its key.
+    /// Issues a certificate and writes it and its key to `files`.
     fn write_pair(&self, files: &KeyFiles, role: LinkRole, holder: &str) -> Result<(), LinkError> {
         let (cert, key) = self.issue(role, holder)?;
         write_new(&files.cert, &cert)?;
@@ -195,7 +201,7 @@
     }
 }
 
-/// Writes a file that must not exist yet, readable by its owner only.
+/// Creates a file that only its owner can read; fails if the file exists.
 fn write_new(path: &Path, text: &str) -> io::Result<()> {
     use std::{io::Write as _, os::unix::fs::OpenOptionsExt as _};
     let mut file = fs::OpenOptions::new()
@@ -206,7 +212,7 @@
     file.write_all(text.as_bytes())
 }
 
-/// Wraps an error of the key library.
-fn failed(err: &dyn fmt::Display) -> LinkError {
+/// Converts an error of the certificate library.
+fn keys_error(err: &dyn fmt::Display) -> LinkError {
     LinkError::Keys(err.to_string().into())
 }
--- a/crates/quay_link/src/lib.rs
+++ b/crates/quay_link/src/lib.rs
@@ -1,9 +1,9 @@
-//! Links between sapphirequay processes: QUIC with mutual TLS, one stream a
+//! Links between sapphirequay processes: QUIC with mutual TLS, one stream per
 //! request, and frames encoded by `postcard`.
 //!
-//! The network runs on one thread of its own; every other thread talks to it
-//! through blocking [`LinkStream`]s, so that callers of this crate need no
-//! asynchronous code.
+//! Network I/O runs on a dedicated thread by default. Other threads use blocking
+//! [`LinkStream`]s, so that callers of this crate need no asynchronous code.
+//! [`Links::start_on_runtime`] serves callers that have a `tokio` runtime.
 //!
 //! ```
 //! use quay_link::{DevelopmentKeys, LinkRole, LinkSettings, Links};
@@ -33,8 +33,8 @@
 mod identity;
 mod keys;
 mod links;
-mod pump;
 mod stream;
+mod transfer;
 
 pub use {
     error::LinkError,
--- a/crates/quay_link/src/links.rs
+++ b/crates/quay_link/src/links.rs
@@ -1,12 +1,12 @@
-//! The link thread: endpoints, connections and the tasks that move frames.
+//! The link thread: accepts and opens connections and their streams.
 
 use {
     crate::{
         Frame, Identity, LinkError, LinkRole, LinkStream,
         endpoint::{bind, client_config, server_config},
         frame,
-        identity::{Holder, holder_of},
-        pump::{couple, read_frame},
+        identity::{Holder, certificate_holder},
+        transfer::{read_frame, spawn_transfer},
     },
     quinn::{Connection, Endpoint, VarInt},
     rustls::pki_types::CertificateDer,
@@ -21,29 +21,34 @@
     tokio::sync::{mpsc, oneshot},
 };
 
-/// Longest time to set up a connection; a few lost packets fit in.
-const CONNECT_WITHIN: Duration = Duration::from_millis(600);
+/// Time-out of a connection attempt; leaves time to retransmit a few lost
+/// packets.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Time after a failed try in which a peer counts as unreachable.
-const RECONNECT_AFTER: Duration = Duration::from_millis(150);
+/// Back-off after a failed connection attempt, during which opening a stream to
+/// the peer fails at once.
+const RECONNECT_BACKOFF: Duration = Duration::from_millis(150);
 
-/// What a process needs to take part in links.
+/// Settings of a link endpoint.
 #[derive(Debug)]
 pub struct LinkSettings {
-    /// Certificate and key of the process.
+    /// Certificate, private key and trusted roots of the process.
     pub identity: Identity,
-    /// Address to accept links on; `None` only opens links.
+    /// Address to accept connections on; `None` for an endpoint that only opens
+    /// connections.
     pub listen: Option<SocketAddr>,
-    /// A connection on which nothing arrives for so long is given up.
+    /// Time without any received packet after which a connection is closed.
     pub idle_timeout: Duration,
-    /// Interval of keep-alive packets on an idle connection.
+    /// Interval between keep-alive packets on an idle connection.
     pub keep_alive: Duration,
-    /// A stream on which no frame arrives for so long reports [`LinkError::Silent`].
-    pub silence: Duration,
+    /// Time without a received frame after which a stream fails with
+    /// [`LinkError::Silent`].
+    pub receive_timeout: Duration,
 }
 
 impl LinkSettings {
-    /// Settings with default times that only open links.
+    /// Settings with default time-outs for an endpoint that accepts no
+    /// connections.
     #[must_use]
     pub const fn new(identity: Identity) -> Self {
         Self {
@@ -51,72 +56,75 @@
             listen: None,
             idle_timeout: Duration::from_secs(3),
             keep_alive: Duration::from_secs(1),
-            silence: Duration::from_secs(5),
+            receive_timeout: Duration::from_secs(5),
         }
     }
 }
 
-/// A stream that a peer has opened.
+/// A stream opened by a peer.
 #[derive(Debug)]
 pub struct Incoming {
     /// Roles in the peer's certificate.
     pub roles: Vec<LinkRole>,
-    /// Name of the holder in the peer's certificate, if it carries one.
+    /// Holder's name in the peer's certificate, if it contains one.
     pub holder: Option<Box<str>>,
     /// Address of the peer.
     pub addr: SocketAddr,
     /// First frame of the stream.
     pub first: Frame,
-    /// The stream, for answers and further frames.
+    /// The stream, for replies and further frames.
     pub stream: LinkStream,
 }
 
-/// Opens a stream on the link thread.
-struct Open {
+/// Request to open a stream.
+struct OpenRequest {
     addr: SocketAddr,
     role: LinkRole,
     first: Vec<u8>,
-    done: oneshot::Sender<Result<LinkStream, LinkError>>,
+    reply: oneshot::Sender<Result<LinkStream, LinkError>>,
 }
 
-/// What the link thread is asked.
-enum Ask {
+/// Command to the link thread.
+enum Command {
     /// Open a stream.
-    Open(Open),
-    /// Use other keys from now on.
+    Open(OpenRequest),
+    /// Use another identity for new connections.
     Reload(Identity, std_mpsc::SyncSender<Result<(), LinkError>>),
 }
 
-/// Handle to the link thread; clones share it.
+/// Handle to a link endpoint; clones share the endpoint.
 #[derive(Debug, Clone)]
 pub struct Links {
-    asks: mpsc::UnboundedSender<Ask>,
-    local: Option<SocketAddr>,
+    commands: mpsc::UnboundedSender<Command>,
+    local_addr: Option<SocketAddr>,
 }
 
 impl Links {
-    /// Starts the link thread. `accept` gets each stream that a peer opens and
-    /// must not block.
+    /// Starts the link thread. `accept` is called with each stream that a peer
+    /// opens and must not block.
     ///
     /// # Errors
     ///
-    /// [`LinkError::Io`] if the address is taken, [`LinkError::Keys`] if the
-    /// identity is unusable.
+    /// [`LinkError::Io`] if the address is in use, [`LinkError::Keys`] if the
+    /// identity is invalid.
     pub fn start(
         settings: LinkSettings,
         accept: impl Fn(Incoming) + Send + Sync + 'static,
     ) -> Result<Self, LinkError> {
-        let (asks, queue) = mpsc::unbounded_channel();
+        let (commands, queue) = mpsc::unbounded_channel();
         let (ready_tx, ready_rx) = std_mpsc::sync_channel(1);
         thread::Builder::new()
             .name("link".into())
-            .spawn(move || run(settings, accept, queue, &ready_tx))?;
-        let local = ready_rx.recv().map_err(|_| LinkError::Stopped)??;
-        Ok(Self { asks, local })
+            .spawn(move || run_thread(settings, accept, queue, &ready_tx))?;
+        let local_addr = ready_rx.recv().map_err(|_| LinkError::Stopped)??;
+        Ok(Self {
+            commands,
+            local_addr,
+        })
     }
 
-    /// Serves links on the `tokio` runtime that this is called in, without a
-    /// thread of their own. Blocking calls must come from other threads.
+    /// Serves links on the current `tokio` runtime instead of a dedicated
+    /// thread. Blocking methods must not be called from the runtime's threads.
     ///
     /// # Errors
     ///
@@ -125,14 +133,17 @@
         settings: LinkSettings,
         accept: impl Fn(Incoming) + Send + Sync + 'static,
     ) -> Result<Self, LinkError> {
-        let (asks, queue) = mpsc::unbounded_channel();
+        let (commands, queue) = mpsc::unbounded_channel();
         let endpoint = bind(&settings)?;
-        let local = settings.listen.and_then(|_| endpoint.local_addr().ok());
+        let local_addr = settings.listen.and_then(|_| endpoint.local_addr().ok());
         tokio::spawn(serve(endpoint, settings, accept, queue));
-        Ok(Self { asks, local })
+        Ok(Self {
+            commands,
+            local_addr,
+        })
     }
 
-    /// Starts a link thread that accepts nothing.
+    /// Starts a link thread that accepts no connections.
     ///
     /// # Errors
     ///
@@ -141,29 +152,30 @@
         Self::start(LinkSettings::new(identity), drop)
     }
 
-    /// Address that links are accepted on.
+    /// Address on which connections are accepted; `None` if none are.
     #[must_use]
     pub const fn local_addr(&self) -> Option<SocketAddr> {
-        self.local
+        self.local_addr
     }
 
-    /// Opens a stream to a peer of `role` and sends its first value.
+    /// Opens a stream to a peer and sends its first value. The peer's
+    /// certificate must contain `role`.
     ///
     /// # Errors
     ///
-    /// [`LinkError::Connect`] if nothing was sent; the peer's certificate must
-    /// carry `role`.
+    /// [`LinkError::Connect`] if the connection or stream could not be opened;
+    /// nothing was sent then.
     pub fn open(
         &self,
         addr: SocketAddr,
         role: LinkRole,
         first: &impl Serialize,
     ) -> Result<LinkStream, LinkError> {
-        let opened = self.ask_open(addr, role, first)?;
+        let opened = self.request_open(addr, role, first)?;
         opened.blocking_recv().map_err(|_| LinkError::Stopped)?
     }
 
-    /// Opens a stream as [`Links::open`] does, from a task.
+    /// Asynchronous version of [`Links::open`].
     ///
     /// # Errors
     ///
@@ -174,52 +186,53 @@
         role: LinkRole,
         first: &impl Serialize,
     ) -> Result<LinkStream, LinkError> {
-        let opened = self.ask_open(addr, role, first)?;
+        let opened = self.request_open(addr, role, first)?;
         opened.await.map_err(|_| LinkError::Stopped)?
     }
 
-    /// Asks for a stream.
-    fn ask_open(
+    /// Queues a request to open a stream; its result arrives on the receiver.
+    fn request_open(
         &self,
         addr: SocketAddr,
         role: LinkRole,
         first: &impl Serialize,
     ) -> Result<oneshot::Receiver<Result<LinkStream, LinkError>>, LinkError> {
         let first = frame::encode(first)?;
-        let (done, opened) = oneshot::channel();
-        let open = Open {
+        let (reply, opened) = oneshot::channel();
+        let open = OpenRequest {
             addr,
             role,
             first,
-            done,
+            reply,
         };
-        self.asks
-            .send(Ask::Open(open))
+        self.commands
+            .send(Command::Open(open))
             .map_err(|_| LinkError::Stopped)?;
         Ok(opened)
     }
 
-    /// Uses other keys for every connection that is made from now on.
+    /// Uses another identity for all new connections.
     ///
-    /// Streams in progress go on under the keys that they began with.
+    /// Streams in progress continue on their existing connections.
     ///
     /// # Errors
     ///
-    /// [`LinkError::Keys`] if the identity is unusable; the old one stays.
+    /// [`LinkError::Keys`] if the identity is invalid; the old identity stays in
+    /// use.
     pub fn reload(&self, identity: Identity) -> Result<(), LinkError> {
-        let (done, reloaded) = std_mpsc::sync_channel(1);
-        self.asks
-            .send(Ask::Reload(identity, done))
+        let (reply, reloaded) = std_mpsc::sync_channel(1);
+        self.commands
+            .send(Command::Reload(identity, reply))
             .map_err(|_| LinkError::Stopped)?;
         reloaded.recv().map_err(|_| LinkError::Stopped)?
     }
 }
 
-/// Runs the link thread until every handle is dropped.
-fn run(
+/// Body of the link thread; returns once all handles are dropped.
+fn run_thread(
     settings: LinkSettings,
     accept: impl Fn(Incoming) + Send + Sync + 'static,
-    queue: mpsc::UnboundedReceiver<Ask>,
+    queue: mpsc::UnboundedReceiver<Command>,
     ready: &std_mpsc::SyncSender<Result<Option<SocketAddr>, LinkError>>,
 ) {
     let runtime = match tokio::runtime::Builder::new_current_thread()
@@ -240,82 +253,83 @@
                 return;
             }
         };
-        let local = settings.listen.and_then(|_| endpoint.local_addr().ok());
-        let _ = ready.send(Ok(local));
+        let local_addr = settings.listen.and_then(|_| endpoint.local_addr().ok());
+        let _ = ready.send(Ok(local_addr));
         serve(endpoint, settings, accept, queue).await;
     });
 }
 
-/// Accepts and opens streams until every handle is dropped.
+/// Accepts and opens streams until all handles are dropped.
 async fn serve(
     endpoint: Endpoint,
     settings: LinkSettings,
     accept: impl Fn(Incoming) + Send + Sync + 'static,
-    queue: mpsc::UnboundedReceiver<Ask>,
+    queue: mpsc::UnboundedReceiver<Command>,
 ) {
     if settings.listen.is_some() {
         tokio::spawn(accept_connections(
             endpoint.clone(),
             Arc::new(accept),
-            settings.silence,
+            settings.receive_timeout,
         ));
     }
-    serve_asks(endpoint.clone(), settings, queue).await;
+    serve_commands(endpoint.clone(), settings, queue).await;
     endpoint.close(VarInt::from_u32(0), b"stopped");
 }
 
 // ---------------------------------------------------------------------------
-// Streams that are opened here
+// Outgoing streams
 
-/// What is known of the way to one peer.
+/// State of the connection to one peer.
 #[derive(Debug, Default)]
-struct Way {
+struct PeerState {
     connection: Option<Connection>,
-    /// When the last try to connect failed.
-    failed: Option<Instant>,
+    /// When the last connection attempt failed.
+    failed_at: Option<Instant>,
 }
 
-/// One connection a peer and role. Whoever holds the lock of a way connects;
-/// the others wait for the outcome instead of connecting as well.
-type Ways = HashMap<(SocketAddr, LinkRole), Arc<tokio::sync::Mutex<Way>>>;
+/// Connection state by peer address and role. The task that holds a peer's lock
+/// connects; other tasks wait for the outcome instead of connecting as well.
+type PeerStates = HashMap<(SocketAddr, LinkRole), Arc<tokio::sync::Mutex<PeerState>>>;
 
-/// The ways, shared by all that open streams.
-type Connections = Arc<Mutex<Ways>>;
+/// Connection states, shared by all tasks that open streams.
+type Connections = Arc<Mutex<PeerStates>>;
 
-/// The ways that are known.
-fn ways(connections: &Connections) -> MutexGuard<'_, Ways> {
+/// Locks the connection states.
+fn lock_peers(connections: &Connections) -> MutexGuard<'_, PeerStates> {
     connections.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Opens streams and takes new keys until every handle is dropped.
-async fn serve_asks(
+/// Opens streams and reloads keys until all handles are dropped.
+async fn serve_commands(
     mut endpoint: Endpoint,
     mut settings: LinkSettings,
-    mut queue: mpsc::UnboundedReceiver<Ask>,
+    mut queue: mpsc::UnboundedReceiver<Command>,
 ) {
     let mut connections = Connections::default();
-    while let Some(ask) = queue.recv().await {
-        match ask {
-            Ask::Open(open) => {
+    while let Some(command) = queue.recv().await {
+        match command {
+            Command::Open(open) => {
                 let connections = Arc::clone(&connections);
                 tokio::spawn(serve_open(
                     endpoint.clone(),
                     connections,
                     open,
-                    settings.silence,
+                    settings.receive_timeout,
                 ));
             }
-            Ask::Reload(identity, done) => {
+            Command::Reload(identity, reply) => {
                 let reloaded = reload(&mut endpoint, &mut settings, identity);
-                // Connections under the old keys end with their last stream.
+                // Connections that use the old keys close with their last stream.
                 connections = Connections::default();
-                let _ = done.send(reloaded);
+                let _ = reply.send(reloaded);
             }
         }
     }
 }
 
-/// Puts new keys into force.
+/// Replaces the identity for new connections; keeps the old identity if the new
+/// one is invalid.
 fn reload(
     endpoint: &mut Endpoint,
     settings: &mut LinkSettings,
@@ -338,57 +352,68 @@
     }
 }
 
-/// Opens one stream, on the connection to the peer if it still lives.
-async fn serve_open(endpoint: Endpoint, connections: Connections, open: Open, silence: Duration) {
-    let Open {
+/// Opens one stream, on the existing connection to the peer if there is an open
+/// one.
+async fn serve_open(
+    endpoint: Endpoint,
+    connections: Connections,
+    open: OpenRequest,
+    receive_timeout: Duration,
+) {
+    let OpenRequest {
         addr,
         role,
         first,
-        mut done,
+        mut reply,
     } = open;
-    let way = Arc::clone(ways(&connections).entry((addr, role)).or_default());
-    let mut way = tokio::select! {
-        way = way.lock() => way,
-        () = done.closed() => return,
+    let peer = Arc::clone(lock_peers(&connections).entry((addr, role)).or_default());
+    let mut peer = tokio::select! {
+        peer = peer.lock() => peer,
+        () = reply.closed() => return,
     };
-    if done.is_closed() {
+    if reply.is_closed() {
         return;
     }
-    // Not given up when the asker goes: its outcome serves those that wait, and
-    // a try that leaves no trace is followed by another one at once.
-    let connection = connection(&endpoint, &mut way, addr, role).await;
-    drop(way);
-    let stream = async { open_stream(&connection?, first, silence).await };
+    // The attempt continues when its requester gives up: other tasks wait for
+    // the outcome, and a cancelled attempt would record no failure, so that the
+    // next request would connect again without back-off.
+    let connection = get_or_connect(&endpoint, &mut peer, addr, role).await;
+    drop(peer);
+    let stream = async { open_stream(&connection?, first, receive_timeout).await };
     tokio::select! {
-        stream = stream => drop(done.send(stream)),
-        () = done.closed() => {}
+        stream = stream => drop(reply.send(stream)),
+        () = reply.closed() => {}
     }
 }
 
-/// The connection to a peer; a new one if there is none that lives.
-async fn connection(
+/// Returns the open connection to a peer, or establishes a new one.
+async fn get_or_connect(
     endpoint: &Endpoint,
-    way: &mut Way,
+    peer: &mut PeerState,
     addr: SocketAddr,
     role: LinkRole,
 ) -> Result<Connection, LinkError> {
-    if let Some(connection) = &way.connection
+    if let Some(connection) = &peer.connection
         && connection.close_reason().is_none()
     {
         return Ok(connection.clone());
     }
-    let unreachable = |why: &str| LinkError::Connect(format!("{addr}: {why}").into());
-    if way.failed.is_some_and(|at| at.elapsed() < RECONNECT_AFTER) {
-        return Err(unreachable("it could not be reached a moment ago"));
+    let unreachable = |reason: &str| LinkError::Connect(format!("{addr}: {reason}").into());
+    if peer
+        .failed_at
+        .is_some_and(|at| at.elapsed() < RECONNECT_BACKOFF)
+    {
+        return Err(unreachable("a recent connection attempt failed"));
     }
-    let connecting = tokio::time::timeout(CONNECT_WITHIN, connect(endpoint, addr, role)).await;
-    let connected = connecting.unwrap_or_else(|_| Err(unreachable("no answer in time")));
-    way.failed = connected.is_err().then(Instant::now);
-    way.connection = connected.as_ref().ok().cloned();
+    let connecting = tokio::time::timeout(CONNECT_TIMEOUT, connect(endpoint, addr, role)).await;
+    let connected = connecting.unwrap_or_else(|_| Err(unreachable("connection attempt timed out")));
+    peer.failed_at = connected.is_err().then(Instant::now);
+    peer.connection = connected.as_ref().ok().cloned();
     connected
 }
 
-/// Makes a new connection and checks the peer's role by its DNS name.
+/// Establishes a connection. TLS verifies the peer's role through the DNS name
+/// in the peer's certificate.
 async fn connect(
     endpoint: &Endpoint,
     addr: SocketAddr,
@@ -406,47 +431,48 @@
 async fn open_stream(
     connection: &Connection,
     first: Vec<u8>,
-    silence: Duration,
+    receive_timeout: Duration,
 ) -> Result<LinkStream, LinkError> {
     let (send, recv) = connection
         .open_bi()
         .await
         .map_err(|err| LinkError::Connect(err.to_string().into()))?;
-    let stream = couple(send, recv, silence);
+    let stream = spawn_transfer(send, recv, receive_timeout);
     stream
         .tx
         .send(first)
         .await
-        .map_err(|_| LinkError::Broken("stream ended".into()))?;
+        .map_err(|_| LinkError::Broken("stream closed".into()))?;
     Ok(stream)
 }
 
 // ---------------------------------------------------------------------------
-// Streams that peers open
+// Incoming streams
 
 /// Accepts connections until the endpoint closes.
 async fn accept_connections(
     endpoint: Endpoint,
     accept: Arc<impl Fn(Incoming) + Send + Sync + 'static>,
-    silence: Duration,
+    receive_timeout: Duration,
 ) {
     while let Some(incoming) = endpoint.accept().await {
         let accept = Arc::clone(&accept);
         tokio::spawn(async move {
             match incoming.await {
-                Ok(connection) => accept_streams(connection, accept, silence).await,
+                Ok(connection) => accept_streams(connection, accept, receive_timeout).await,
                 Err(err) => log::debug!("event=link_refused cause={err:?}"),
             }
         });
     }
 }
 
-/// What the certificate that the peer has shown says of it.
+/// Holder of the certificate presented by the peer; no roles and no name if the
+/// certificate can't be read.
 fn peer_holder(connection: &Connection) -> Holder {
     connection
         .peer_identity()
         .and_then(|identity| identity.downcast::<Vec<CertificateDer<'static>>>().ok())
-        .and_then(|chain| chain.first().and_then(|cert| holder_of(cert).ok()))
+        .and_then(|chain| chain.first().and_then(|cert| certificate_holder(cert).ok()))
         .unwrap_or_default()
 }
 
@@ -454,7 +480,7 @@
 async fn accept_streams(
     connection: Connection,
     accept: Arc<impl Fn(Incoming) + Send + Sync + 'static>,
-    silence: Duration,
+    receive_timeout: Duration,
 ) {
     let holder = peer_holder(&connection);
     let addr = connection.remote_address();
@@ -462,13 +488,13 @@
         let accept = Arc::clone(&accept);
         let holder = holder.clone();
         tokio::spawn(async move {
-            match tokio::time::timeout(silence, read_frame(&mut recv)).await {
+            match tokio::time::timeout(receive_timeout, read_frame(&mut recv)).await {
                 Ok(Ok(first)) => accept(Incoming {
                     roles: holder.roles,
                     holder: holder.name,
                     addr,
                     first,
-                    stream: couple(send, recv, silence),
+                    stream: spawn_transfer(send, recv, receive_timeout),
                 }),
                 Ok(Err(err)) => log::debug!("event=link_first_frame peer={addr} cause={err:?}"),
                 Err(_) => log::debug!("event=link_first_frame peer={addr} cause=silent"),
--- a/crates/quay_link/src/stream.rs
+++ b/crates/quay_link/src/stream.rs
@@ -1,4 +1,4 @@
-//! A stream of frames, used from threads that may block.
+//! Stream of frames with blocking and asynchronous methods.
 
 use {
     crate::{Frame, LinkError, frame},
@@ -6,12 +6,13 @@
     tokio::sync::mpsc,
 };
 
-/// Frames that may wait between the network and the thread that uses a stream.
-pub(crate) const WINDOW_FRAMES: usize = 32;
+/// Capacity in frames of each channel between the network tasks and the user of a
+/// stream.
+pub(crate) const CHANNEL_FRAMES: usize = 32;
 
-/// One request and its answers.
+/// One request and its replies.
 ///
-/// Dropping the stream cancels the request at the peer.
+/// Dropping the stream signals the peer to cancel the request.
 #[derive(Debug)]
 pub struct LinkStream {
     pub(crate) tx: mpsc::Sender<Vec<u8>>,
@@ -19,7 +20,8 @@
 }
 
 impl LinkStream {
-    /// Sends one value; blocks while the peer's window is full.
+    /// Sends one value; blocks while the send channel is full because the
+    /// peer reads too slowly.
     ///
     /// # Errors
     ///
@@ -29,8 +31,8 @@
         self.send_returning_size(value).map(drop)
     }
 
-    /// Sends one value as [`LinkStream::send`] does and tells the bytes of its
-    /// frame.
+    /// Sends one value as [`LinkStream::send`] does. Returns the size of its frame
+    /// in bytes, with the length prefix.
     ///
     /// # Errors
     ///
@@ -40,11 +42,11 @@
         let bytes = buf.len();
         self.tx
             .blocking_send(buf)
-            .map_err(|_| LinkError::Broken("stream ended".into()))?;
+            .map_err(|_| LinkError::Broken("stream closed".into()))?;
         Ok(bytes)
     }
 
-    /// Sends one value from a task; waits while the peer's window is full.
+    /// Asynchronous version of [`LinkStream::send`].
     ///
     /// # Errors
     ///
@@ -52,10 +54,10 @@
     pub async fn send_async(&self, value: &impl Serialize) -> Result<(), LinkError> {
         let buf = frame::encode(value)?;
         let sent = self.tx.send(buf).await;
-        sent.map_err(|_| LinkError::Broken("stream ended".into()))
+        sent.map_err(|_| LinkError::Broken("stream closed".into()))
     }
 
-    /// Receives one value in a task.
+    /// Asynchronous version of [`LinkStream::recv`].
     ///
     /// # Errors
     ///
@@ -67,12 +69,14 @@
         }
     }
 
-    /// Receives one value.
+    /// Receives one value; blocks until a frame arrives.
     ///
     /// # Errors
     ///
-    /// [`LinkError::Silent`] after the silence limit, [`LinkError::Finished`]
-    /// at the end, [`LinkError::Decode`] on bytes that are no `T`.
+    /// [`LinkError::Silent`] if no frame arrived within the receive timeout,
+    /// [`LinkError::Finished`] at the end of the stream, [`LinkError::Broken`]
+    /// if the stream failed, [`LinkError::Decode`] if the frame is not a valid
+    /// `T`.
     pub fn recv<T: DeserializeOwned>(&mut self) -> Result<T, LinkError> {
         match self.rx.blocking_recv() {
             Some(frame) => frame?.decode(),
--- a/crates/quay_link/src/pump.rs
+++ b/crates/quay_link/src/transfer.rs
@@ -1,28 +1,34 @@
-//! Moves frames between a network stream and its user.
+//! Transfers frames between a QUIC stream and its [`LinkStream`].
 
 use {
-    crate::{Frame, LinkError, LinkStream, frame, stream::WINDOW_FRAMES},
+    crate::{Frame, LinkError, LinkStream, frame, stream::CHANNEL_FRAMES},
     quinn::{RecvStream, SendStream, VarInt},
     std::time::Duration,
     tokio::sync::mpsc,
 };
 
-/// Code with which a stream is ended when its user has dropped it.
+/// QUIC error code sent when the receiving side stops reading.
 const CANCELLED: VarInt = VarInt::from_u32(1);
 
-/// Ties a network stream to a blocking [`LinkStream`].
-pub(crate) fn couple(send: SendStream, recv: RecvStream, silence: Duration) -> LinkStream {
-    let (out_tx, out_rx) = mpsc::channel(WINDOW_FRAMES);
-    let (in_tx, in_rx) = mpsc::channel(WINDOW_FRAMES);
+/// Spawns the tasks that transfer frames between a QUIC stream and the returned
+/// [`LinkStream`].
+pub(crate) fn spawn_transfer(
+    send: SendStream,
+    recv: RecvStream,
+    receive_timeout: Duration,
+) -> LinkStream {
+    let (out_tx, out_rx) = mpsc::channel(CHANNEL_FRAMES);
+    let (in_tx, in_rx) = mpsc::channel(CHANNEL_FRAMES);
     tokio::spawn(write_frames(send, out_rx));
-    tokio::spawn(read_frames(recv, in_tx, silence));
+    tokio::spawn(read_frames(recv, in_tx, receive_timeout));
     LinkStream {
         tx: out_tx,
         rx: in_rx,
     }
 }
 
-/// Writes frames until the user drops the stream, then finishes it.
+/// Writes frames until the [`LinkStream`] is dropped, then finishes the QUIC
+/// stream.
 async fn write_frames(mut send: SendStream, mut frames: mpsc::Receiver<Vec<u8>>) {
     loop {
         tokio::select! {
@@ -35,21 +41,22 @@
                     return;
                 }
             }
-            // The peer has dropped its end: further frames are of no use.
+            // The peer has stopped reading; further frames would be discarded.
             _ = send.stopped() => return,
         }
     }
 }
 
-/// Reads frames until the stream ends, the peer is silent or the user drops it.
+/// Reads frames until the stream ends, no frame arrives within
+/// `receive_timeout`, or the [`LinkStream`] is dropped.
 async fn read_frames(
     mut recv: RecvStream,
     frames: mpsc::Sender<Result<Frame, LinkError>>,
-    silence: Duration,
+    receive_timeout: Duration,
 ) {
     loop {
         let next = tokio::select! {
-            next = tokio::time::timeout(silence, read_frame(&mut recv)) => next.unwrap_or(Err(LinkError::Silent)),
+            next = tokio::time::timeout(receive_timeout, read_frame(&mut recv)) => next.unwrap_or(Err(LinkError::Silent)),
             () = frames.closed() => break,
         };
         let last = next.is_err();
@@ -62,14 +69,15 @@
 
 /// Reads one frame.
 pub(crate) async fn read_frame(recv: &mut RecvStream) -> Result<Frame, LinkError> {
-    let mut head = [0; frame::HEAD_BYTES];
-    read_exact(recv, &mut head).await?;
-    let mut body = vec![0; frame::body_bytes(head)?];
+    let mut prefix = [0; frame::LENGTH_PREFIX_BYTES];
+    read_exact(recv, &mut prefix).await?;
+    let mut body = vec![0; frame::body_bytes(prefix)?];
     read_exact(recv, &mut body).await?;
     Ok(Frame(body.into()))
 }
 
-/// Fills `buf`; a clean end of the stream is [`LinkError::Finished`].
+/// Fills `buf`. Fails with [`LinkError::Finished`] if the stream ends before
+/// the first byte, with [`LinkError::Broken`] if it ends later.
 async fn read_exact(recv: &mut RecvStream, buf: &mut [u8]) -> Result<(), LinkError> {
     recv.read_exact(buf).await.map_err(|err| match err {
         quinn::ReadExactError::FinishedEarly(0) => LinkError::Finished,
--- a/crates/quay_link/tests/unreachable.rs
+++ b/crates/quay_link/tests/unreachable.rs
@@ -1,4 +1,4 @@
-//! What a peer that does not answer gets.
+//! Tests connection attempts to a peer that does not answer.
 
 use {
     quay_link::{DevelopmentKeys, LinkRole, LinkSettings, Links},
@@ -11,64 +11,74 @@
     tokio::time::{sleep, timeout},
 };
 
-/// Time for which the peer is asked.
-const ASKED: Duration = Duration::from_secs(3);
+/// Time during which requests to the peer are made.
+const TEST_DURATION: Duration = Duration::from_secs(3);
 
-/// Patience of one question: less than a try to connect may take.
-const PATIENCE: Duration = Duration::from_millis(250);
+/// Time-out of each request; shorter than the time-out of a connection attempt.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Least time from one try to the next.
-const TRY_EVERY: Duration = Duration::from_millis(600);
+/// Minimum interval between two connection attempts.
+const MIN_ATTEMPT_INTERVAL: Duration = Duration::from_millis(600);
 
-/// The connection that a datagram asks for, if it is the first of one.
-fn wanted(datagram: &[u8]) -> Option<Vec<u8>> {
-    // Long header: flags, version, length of the destination's number, number.
+/// Destination connection ID of a QUIC packet with a long header, as used during
+/// the handshake.
+fn destination_connection_id(datagram: &[u8]) -> Option<Vec<u8>> {
+    // Long header: flags, version, length of the connection ID, connection ID.
     let len = usize::from(*datagram.get(5)?);
-    let long = datagram[0] & 0x80 != 0;
-    long.then(|| datagram.get(6..6 + len).map(<[u8]>::to_vec))?
+    let long_header = datagram[0] & 0x80 != 0;
+    long_header.then(|| datagram.get(6..6 + len).map(<[u8]>::to_vec))?
 }
 
-/// Collects what a silent peer is sent.
-fn silent_peer() -> (SocketAddr, thread::JoinHandle<usize>) {
+/// Starts a peer that never answers. Its thread returns the number of connection
+/// attempts received.
+fn unresponsive_peer() -> (SocketAddr, thread::JoinHandle<usize>) {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("port");
     let addr = socket.local_addr().expect("address");
     socket
-        .set_read_timeout(Some(ASKED / 2))
+        .set_read_timeout(Some(TEST_DURATION / 2))
         .expect("read timeout");
-    let heard = thread::spawn(move || {
+    let attempts = thread::spawn(move || {
         let mut connections = HashSet::new();
         let mut buf = [0; 16 << 10];
         while let Ok(len) = socket.recv(&mut buf) {
-            connections.extend(wanted(&buf[..len]));
+            connections.extend(destination_connection_id(&buf[..len]));
         }
         connections.len()
     });
-    (addr, heard)
+    (addr, attempts)
 }
 
+/// A request that times out must not cancel the connection attempt in progress:
+/// no failure would be recorded, and the next request would start another
+/// attempt without back-off.
 #[tokio::test]
-async fn askers_that_give_up_do_not_make_more_tries_to_connect() {
+async fn requests_that_time_out_do_not_add_connection_attempts() {
     let keys = DevelopmentKeys::generate().expect("keys");
     let identity = keys.identity(LinkRole::Entry).expect("identity");
-    let (peer, heard) = silent_peer();
+    let (peer, attempts) = unresponsive_peer();
     let links = Links::start_on_runtime(LinkSettings::new(identity), |_| {}).expect("links");
-    let began = Instant::now();
-    let mut askers = Vec::new();
-    while began.elapsed() < ASKED {
+    let started = Instant::now();
+    let mut requests = Vec::new();
+    while started.elapsed() < TEST_DURATION {
         let links = links.clone();
-        askers.push(tokio::spawn(async move {
-            let asked = links.open_async(peer, LinkRole::Ledger, &"hi");
-            timeout(PATIENCE, asked).await.is_ok_and(|it| it.is_ok())
+        requests.push(tokio::spawn(async move {
+            let opened = links.open_async(peer, LinkRole::Ledger, &"hi");
+            timeout(REQUEST_TIMEOUT, opened)
+                .await
+                .is_ok_and(|result| result.is_ok())
         }));
         sleep(Duration::from_millis(5)).await;
     }
-    for asker in askers {
-        assert!(!asker.await.expect("asker"), "nobody is there");
+    for request in requests {
+        assert!(!request.await.expect("request"), "the peer does not answer");
     }
-    // A slower machine asks for longer, and may try more often then.
-    let spans = began.elapsed().as_millis() / TRY_EVERY.as_millis();
+    // On a slow machine the requests take longer, which permits more attempts.
+    let intervals = started.elapsed().as_millis() / MIN_ATTEMPT_INTERVAL.as_millis();
     drop(links);
-    let tries = tokio::task::spawn_blocking(move || heard.join().expect("peer"));
-    let tries = tries.await.expect("peer") as u128;
-    assert!(tries <= spans + 2, "{tries} tries in {spans} spans");
+    let attempts = tokio::task::spawn_blocking(move || attempts.join().expect("peer"));
+    let attempts = attempts.await.expect("peer") as u128;
+    assert!(
+        attempts <= intervals + 2,
+        "{attempts} connection attempts in {intervals} intervals"
+    );
 }
