--- a/crates/quay_link/src/error.rs
+++ b/crates/quay_link/src/error.rs
@@ -38,7 +38,7 @@
             Self::Io(err) => write!(f, "link I/O error: {err}"),
             Self::Keys(text) => write!(f, "link keys: {text}"),
             Self::Connect(text) => write!(f, "link connection failed: {text}"),
-            Self::Broken(text) => write!(f, "link stream failed: {text}"),
+            Self::Broken(text) => write!(f, "link stream broken: {text}"),
             Self::Finished => f.write_str("link stream closed by the peer"),
             Self::Silent => f.write_str("no frame arrived within the link's receive timeout"),
             Self::TooLarge { bytes } => write!(f, "link frame of {bytes} bytes exceeds the limit"),
--- a/crates/quay_link/src/links.rs
+++ b/crates/quay_link/src/links.rs
@@ -284,7 +284,7 @@
 #[derive(Debug, Default)]
 struct PeerState {
     connection: Option<Connection>,
-    /// When the last connection attempt failed.
+    /// Time at which the last connection attempt failed; `None` after a success.
     failed_at: Option<Instant>,
 }
 
