--- a/crates/quay_standin/src/engine/control.rs
+++ b/crates/quay_standin/src/engine/control.rs
@@ -1,4 +1,5 @@
-//! What an engine tells of its cache and load, and the orders that it takes.
+//! Control endpoints of a simulated engine: cache events, load, KV transfers and
+//! orders.
 
 use {
     crate::{
@@ -14,13 +15,13 @@
     std::time::Duration,
 };
 
-/// Blocks of KV content.
+/// Body of a KV transfer request: hashes of KV blocks.
 #[derive(Debug, Deserialize)]
 struct Blocks {
     blocks: Box<[u64]>,
 }
 
-/// An order as it is posted.
+/// JSON body of an order.
 #[derive(Debug, Deserialize)]
 struct PostedOrder {
     fence: u64,
@@ -28,7 +29,7 @@
     action: PostedAction,
 }
 
-/// What an order asks for.
+/// Action of an order in JSON.
 #[derive(Debug, Deserialize)]
 #[serde(tag = "action", rename_all = "lowercase")]
 enum PostedAction {
@@ -37,7 +38,7 @@
     Role { role: PostedRole },
 }
 
-/// Names of roles.
+/// Engine role in JSON.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum PostedRole {
@@ -46,29 +47,30 @@
     Decode,
 }
 
-/// Status and body of the answer; `None` for a path that is not served here.
+/// Serves a request. Returns status and body of the response, or `None` for an
+/// unknown path.
 pub fn serve(driver: &Driver, method: &str, path: &str, body: &[u8]) -> Option<(u16, Value)> {
-    let answer = match (method, path) {
+    let reply = match (method, path) {
         ("GET", "/v1/cache/events") => {
-            let events = driver.ask(EngineModel::cache_events);
+            let events = driver.with_model(EngineModel::cache_events);
             let events: Vec<_> = events.iter().map(event_json).collect();
             json!({"events": events})
         }
         ("GET", "/v1/cache/snapshot") => {
-            let snapshot = driver.ask(|model, _| model.cache_snapshot());
+            let snapshot = driver.with_model(|model, _| model.cache_snapshot());
             json!({"sequence": snapshot.sequence, "blocks": snapshot.blocks})
         }
-        ("GET", "/v1/load") => load(driver),
+        ("GET", "/v1/load") => load_json(driver),
         ("POST", "/v1/kv/export" | "/v1/kv/import" | "/v1/kv/release") => {
-            return Some(move_blocks(driver, path, body));
+            return Some(transfer_blocks(driver, path, body));
         }
-        ("POST", "/v1/orders") => return Some(take_order(driver, body)),
+        ("POST", "/v1/orders") => return Some(apply_order(driver, body)),
         _ => return None,
     };
-    Some((200, answer))
+    Some((200, reply))
 }
 
-/// A cache event in JSON.
+/// Converts a cache event to JSON.
 fn event_json(event: &CacheEvent) -> Value {
     let (change, block) = match event.change {
         CacheChange::Stored(block) => ("stored", Some(block)),
@@ -78,9 +80,9 @@
     json!({"sequence": event.sequence, "at_us": event.at.as_micros(), "change": change, "block": block})
 }
 
-/// The newest load report that is known.
-fn load(driver: &Driver) -> Value {
-    let report = driver.ask(|model, now| model.load(now).map(|report| (report, now)));
+/// Latest published load report in JSON; `null` if there is none.
+fn load_json(driver: &Driver) -> Value {
+    let report = driver.with_model(|model, now| model.load(now).map(|report| (report, now)));
     report.map_or(Value::Null, |(report, now)| {
         json!({
             "age_ms": now.since(report.at).as_millis(), "running": report.running,
@@ -90,35 +92,35 @@
     })
 }
 
-/// Exports, imports or releases KV content.
-fn move_blocks(driver: &Driver, path: &str, body: &[u8]) -> (u16, Value) {
+/// Exports, imports or releases KV blocks.
+fn transfer_blocks(driver: &Driver, path: &str, body: &[u8]) -> (u16, Value) {
     let blocks = match serde_json::from_slice::<Blocks>(body) {
-        Ok(posted) => posted.blocks,
-        Err(err) => return bad(&err),
+        Ok(request) => request.blocks,
+        Err(err) => return bad_request(&err),
     };
-    let answer = match path {
+    let reply = match path {
         "/v1/kv/export" => {
-            let export = driver.ask(|model, _| model.export(&blocks));
+            let export = driver.with_model(|model, _| model.export(&blocks));
             json!({"blocks": export.blocks})
         }
         "/v1/kv/import" => {
             let export = KvExport { blocks };
-            let imported = driver.ask(|model, now| model.import(now, &export, 0));
+            let imported = driver.with_model(|model, now| model.import(now, &export, 0));
             json!({"imported": imported})
         }
         _ => {
-            driver.ask(|model, now| model.release(now, &blocks));
+            driver.with_model(|model, now| model.release(now, &blocks));
             json!({})
         }
     };
-    (200, answer)
+    (200, reply)
 }
 
-/// Carries out an order, unless its fence number is old and that is checked.
-fn take_order(driver: &Driver, body: &[u8]) -> (u16, Value) {
+/// Applies an order; refuses a stale fence number if the engine checks it.
+fn apply_order(driver: &Driver, body: &[u8]) -> (u16, Value) {
     let posted = match serde_json::from_slice::<PostedOrder>(body) {
         Ok(posted) => posted,
-        Err(err) => return bad(&err),
+        Err(err) => return bad_request(&err),
     };
     let action = match posted.action {
         PostedAction::Load { model, ms } => {
@@ -135,13 +137,13 @@
         fence: FenceNumber(posted.fence),
         action,
     };
-    match driver.ask(|model, now| model.order(now, order)) {
+    match driver.with_model(|model, now| model.order(now, order)) {
         Ok(()) => (200, json!({})),
         Err(OrderError::StaleFence(fence)) => (409, json!({"fence": fence.0})),
     }
 }
 
-/// The answer to a body that can't be read.
-fn bad(err: &serde_json::Error) -> (u16, Value) {
+/// Response to a malformed request body.
+fn bad_request(err: &serde_json::Error) -> (u16, Value) {
     (400, json!({"error": err.to_string()}))
 }
--- a/crates/quay_standin/src/engine/driver.rs
+++ b/crates/quay_standin/src/engine/driver.rs
@@ -1,4 +1,4 @@
-//! Drives the engine model by the clock and hands its tokens to the answers.
+//! Runs the engine model in real time and forwards its events to the streams.
 
 use {
     crate::{
@@ -15,37 +15,38 @@
     },
 };
 
-/// Longest sleep of the driver.
+/// Maximum sleep of the driver thread, after which it checks whether the driver
+/// still exists.
 const MAX_SLEEP: Duration = Duration::from_millis(200);
 
-/// The model and the answers that wait for its tokens.
+/// The model, and the streams of the jobs in progress.
 #[derive(Debug)]
-struct Driven {
+struct DriverState {
     model: EngineModel,
     jobs: IndexMap<JobId, Arc<Stream>>,
-    next: u64,
+    last_id: u64,
 }
 
-/// A modelled engine in real time.
+/// Runs an [`EngineModel`] in real time.
 #[derive(Debug)]
 pub struct Driver {
-    driven: Mutex<Driven>,
+    state: Mutex<DriverState>,
     changed: Condvar,
     origin: Instant,
 }
 
 impl Driver {
-    /// Starts the thread that drives a new model.
+    /// Starts the driver thread with a new model.
     ///
     /// # Errors
     ///
-    /// Fails if the system gives no thread.
+    /// Fails if the thread cannot be created.
     pub fn start(settings: ModelSettings) -> io::Result<Arc<Self>> {
         let driver = Arc::new(Self {
-            driven: Mutex::new(Driven {
+            state: Mutex::new(DriverState {
                 model: EngineModel::new(settings),
                 jobs: IndexMap::new(),
-                next: 0,
+                last_id: 0,
             }),
             changed: Condvar::new(),
             origin: Instant::now(),
@@ -53,103 +54,104 @@
         let weak = Arc::downgrade(&driver);
         thread::Builder::new()
             .name("engine-model".into())
-            .spawn(move || drive(&weak))?;
+            .spawn(move || run_driver(&weak))?;
         Ok(driver)
     }
 
-    /// Time since the engine started.
+    /// Time since the driver started.
     fn now(&self) -> Time {
         Time::ZERO + self.origin.elapsed()
     }
 
-    /// Locks the model.
-    fn lock(&self) -> MutexGuard<'_, Driven> {
-        self.driven.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Locks the state.
+    fn lock(&self) -> MutexGuard<'_, DriverState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Hands a request over; its number, or `None` if it never fits.
+    /// Submits a request to the model. Returns its job, or `None` if the engine is
+    /// down or the request exceeds the engine's KV memory.
     pub fn submit(&self, stream: &Arc<Stream>, blocks: &[u64], poison: bool) -> Option<JobId> {
-        let narrow = |count: u64| u32::try_from(count).unwrap_or(u32::MAX);
-        let mut driven = self.lock();
-        driven.next += 1;
-        let id = JobId(driven.next);
+        let saturate = |count: u64| u32::try_from(count).unwrap_or(u32::MAX);
+        let mut state = self.lock();
+        state.last_id += 1;
+        let id = JobId(state.last_id);
         let job = Job {
             id,
             blocks: blocks.into(),
             shared: 0,
-            prompt: narrow(stream.prompt),
-            output: narrow(stream.tokens),
+            prompt: saturate(stream.prompt),
+            output: saturate(stream.tokens),
             poison,
         };
-        if !driven.model.submit(self.now(), job) {
+        if !state.model.submit(self.now(), job) {
             return None;
         }
-        driven.jobs.insert(id, Arc::clone(stream));
+        state.jobs.insert(id, Arc::clone(stream));
         self.changed.notify_all();
         Some(id)
     }
 
-    /// Takes a request out.
+    /// Cancels a job.
     pub fn cancel(&self, id: JobId) {
-        let mut driven = self.lock();
-        driven.model.cancel(self.now(), id);
-        driven.jobs.shift_remove(&id);
+        let mut state = self.lock();
+        state.model.cancel(self.now(), id);
+        state.jobs.shift_remove(&id);
     }
 
-    /// Asks the model something.
-    pub fn ask<T>(&self, ask: impl FnOnce(&mut EngineModel, Time) -> T) -> T {
+    /// Calls `f` with the model and the current time.
+    pub fn with_model<T>(&self, f: impl FnOnce(&mut EngineModel, Time) -> T) -> T {
         let now = self.now();
-        let answer = ask(&mut self.lock().model, now);
+        let result = f(&mut self.lock().model, now);
         self.changed.notify_all();
-        answer
+        result
     }
 
-    /// Runs the steps that are due, then sleeps until the next.
-    fn turn(&self) {
+    /// Runs the steps that are due, then waits for the next step or a change.
+    fn run_due_steps(&self) {
         let now = self.now();
-        let mut driven = self.lock();
-        driven.model.advance(now);
-        for event in driven.model.take_events() {
-            driven.tell(event);
+        let mut state = self.lock();
+        state.model.advance(now);
+        for event in state.model.take_events() {
+            state.forward(event);
         }
-        let until = driven.model.next_at();
+        let until = state.model.next_at();
         let sleep = until.map_or(MAX_SLEEP, |at| at.since(now).min(MAX_SLEEP));
-        let waited = self.changed.wait_timeout(driven, sleep);
+        let waited = self.changed.wait_timeout(state, sleep);
         drop(waited.unwrap_or_else(PoisonError::into_inner));
     }
 }
 
-impl Driven {
-    /// Tells an answer what happened to its job.
-    fn tell(&mut self, event: JobEvent) {
+impl DriverState {
+    /// Forwards an event of a job to its stream.
+    fn forward(&mut self, event: JobEvent) {
         match event {
             JobEvent::Started { job, cached, .. } => {
                 if let Some(stream) = self.jobs.get(&job) {
-                    stream.change(|standing| standing.cached = u64::from(cached));
+                    stream.update(|progress| progress.cached = u64::from(cached));
                 }
             }
             JobEvent::Token { job, index, .. } => {
                 if let Some(stream) = self.jobs.get(&job) {
-                    stream.change(|standing| standing.tokens = u64::from(index) + 1);
+                    stream.update(|progress| progress.tokens = u64::from(index) + 1);
                 }
             }
             JobEvent::Done { job, .. } => {
                 if let Some(stream) = self.jobs.shift_remove(&job) {
-                    stream.change(|standing| standing.done = true);
+                    stream.update(|progress| progress.done = true);
                 }
             }
             JobEvent::Crashed { job, .. } => {
                 if let Some(stream) = self.jobs.shift_remove(&job) {
-                    stream.change(|standing| standing.crashed = true);
+                    stream.update(|progress| progress.crashed = true);
                 }
             }
         }
     }
 }
 
-/// Drives a model until its engine is dropped.
-fn drive(driver: &Weak<Driver>) {
+/// Body of the driver thread; returns once the driver is dropped.
+fn run_driver(driver: &Weak<Driver>) {
     while let Some(driver) = driver.upgrade() {
-        driver.turn();
+        driver.run_due_steps();
     }
 }
--- a/crates/quay_standin/src/engine/http.rs
+++ b/crates/quay_standin/src/engine/http.rs
@@ -1,4 +1,4 @@
-//! HTTP of a stand-in engine.
+//! HTTP endpoints of a simulated engine.
 
 use {
     crate::engine::{
@@ -15,11 +15,11 @@
     tiny_http::{Method, Request, Response},
 };
 
-/// Time for which a silent connection is held open.
-const SILENCE: Duration = Duration::from_mins(2);
+/// Time for which a stalled connection is kept open.
+const STALL_DURATION: Duration = Duration::from_mins(2);
 
-/// Interval at which a silent connection looks whether the engine has stopped.
-const SILENT_LOOK: Duration = Duration::from_millis(200);
+/// Interval at which a stalled connection checks whether the engine has stopped.
+const STALL_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Serves one request.
 pub fn serve(streams: &Arc<Streams>, mut req: Request) -> io::Result<()> {
@@ -53,54 +53,56 @@
                 Some(stream) => {
                     let tokens = header(&mut req, "Last-Event-ID");
                     let tokens = tokens.and_then(|text| text.parse().ok());
-                    follow(streams, &stream, tokens.unwrap_or(0), req)
+                    write_stream(streams, &stream, tokens.unwrap_or(0), req)
                 }
                 None => req.respond(Response::empty(404)),
             },
-            _ => control(streams, req),
+            _ => serve_control(streams, req),
         },
     }
 }
 
-/// Serves what only a modelled engine knows.
-fn control(streams: &Streams, mut req: Request) -> io::Result<()> {
+/// Serves the control endpoints, which only an engine with a model has.
+fn serve_control(streams: &Streams, mut req: Request) -> io::Result<()> {
     let mut body = Vec::new();
     req.as_reader().read_to_end(&mut body)?;
     let method = req.method().to_string();
-    let answer = streams
+    let reply = streams
         .driver()
         .and_then(|driver| control::serve(driver, &method, req.url(), &body));
-    let Some((status, answer)) = answer else {
+    let Some((status, body)) = reply else {
         return req.respond(Response::empty(404));
     };
-    req.respond(Response::from_string(answer.to_string()).with_status_code(status))
+    req.respond(Response::from_string(body.to_string()).with_status_code(status))
 }
 
-/// The value of a header.
+/// Value of a header, if it is present.
 fn header(req: &mut Request, name: &'static str) -> Option<String> {
     let header = req.headers().iter().find(|header| header.field.equiv(name));
     header.map(|header| header.value.to_string())
 }
 
-/// Begins an answer and follows it.
+/// Starts a completion, or joins the one with the same stream ID, and writes its
+/// events.
 fn complete(streams: &Arc<Streams>, mut req: Request) -> io::Result<()> {
     let body: Value = serde_json::from_reader(req.as_reader()).unwrap_or_default();
     let messages = body["messages"].to_string();
-    streams.swallow(&messages);
+    streams.crash_if_poison(&messages);
     if streams.crashed() {
-        // Without the writer no answer is made up when the request is dropped.
+        // Dropping a `Request` sends a default response; dropping its writer
+        // closes the connection without one.
         drop(req.into_writer());
         return Ok(());
     }
     let id = header(&mut req, "Sapphirequay-Stream");
     let id = id.unwrap_or_else(|| format!("own-{}", streams.counts().started));
     let stream = streams.start(&id, &messages, body["max_tokens"].as_u64());
-    follow(streams, &stream, 0, req)
+    write_stream(streams, &stream, 0, req)
 }
 
-/// Writes the tokens of an answer after the first `from`.
-fn follow(streams: &Streams, stream: &Stream, from: u64, req: Request) -> io::Result<()> {
-    let silence = streams.silence_number();
+/// Writes the events of a stream after its first `from` tokens.
+fn write_stream(streams: &Streams, stream: &Stream, from: u64, req: Request) -> io::Result<()> {
+    let stall_epoch = streams.stall_epoch();
     let mut out = req.into_writer();
     out.write_all(
         b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n",
@@ -108,40 +110,41 @@
     out.flush()?;
     let mut written = from;
     loop {
-        let standing = stream.wait_beyond(written);
-        if standing.crashed {
+        let progress = stream.wait_beyond(written);
+        if progress.crashed {
             streams.crash();
         }
-        if streams.crashed() || streams.silence_number() != silence {
-            return hold(streams);
+        if streams.crashed() || streams.stall_epoch() != stall_epoch {
+            return stall(streams);
         }
-        if standing.cancelled {
-            return finish(&mut out);
+        if progress.cancelled {
+            return write_last_chunk(&mut out);
         }
-        while written < standing.tokens {
-            let text = streams.word(written);
+        while written < progress.tokens {
+            let text = streams.token_text(written);
             written += 1;
             let delta = json!({"choices": [{"index": 0, "delta": {"content": text}}]});
-            event(&mut out, written, &delta)?;
+            write_event(&mut out, written, &delta)?;
         }
-        if standing.done && written >= stream.tokens {
-            return end(&mut out, stream, standing.cached);
+        if progress.done && written >= stream.tokens {
+            return write_end(&mut out, stream, progress.cached);
         }
     }
 }
 
-/// Keeps a connection open without a word.
-fn hold(streams: &Streams) -> io::Result<()> {
+/// Keeps a connection open without sending data, until the stall time ends or
+/// the engine stops.
+fn stall(streams: &Streams) -> io::Result<()> {
     let mut waited = Duration::ZERO;
-    while waited < SILENCE && !streams.crashed() {
-        thread::sleep(SILENT_LOOK);
-        waited += SILENT_LOOK;
+    while waited < STALL_DURATION && !streams.crashed() {
+        thread::sleep(STALL_POLL_INTERVAL);
+        waited += STALL_POLL_INTERVAL;
     }
     Err(io::ErrorKind::ConnectionAborted.into())
 }
 
-/// Writes the end of an answer.
-fn end(out: &mut impl Write, stream: &Stream, cached: u64) -> io::Result<()> {
+/// Writes the last events and the final chunk of a completed stream.
+fn write_end(out: &mut impl Write, stream: &Stream, cached: u64) -> io::Result<()> {
     let finish_reason = if stream.limited { "length" } else { "stop" };
     let last = json!({
         "choices": [{"index": 0, "delta": {}, "finish_reason": finish_reason}],
@@ -150,24 +153,24 @@
             "prompt_tokens_details": {"cached_tokens": cached},
         },
     });
-    event(out, stream.tokens, &last)?;
-    chunk(out, "data: [DONE]\n\n")?;
-    finish(out)
+    write_event(out, stream.tokens, &last)?;
+    write_chunk(out, "data: [DONE]\n\n")?;
+    write_last_chunk(out)
 }
 
-/// Writes the last chunk.
-fn finish(out: &mut impl Write) -> io::Result<()> {
+/// Writes the final chunk of the response body.
+fn write_last_chunk(out: &mut impl Write) -> io::Result<()> {
     out.write_all(b"0\r\n\r\n")?;
     out.flush()
 }
 
-/// Writes one event with the number of tokens so far.
-fn event(out: &mut impl Write, id: u64, data: &Value) -> io::Result<()> {
-    chunk(out, &format!("id: {id}\ndata: {data}\n\n"))
+/// Writes one server-sent event; its ID is the number of tokens so far.
+fn write_event(out: &mut impl Write, id: u64, data: &Value) -> io::Result<()> {
+    write_chunk(out, &format!("id: {id}\ndata: {data}\n\n"))
 }
 
 /// Writes and flushes one chunk.
-fn chunk(out: &mut impl Write, text: &str) -> io::Result<()> {
+fn write_chunk(out: &mut impl Write, text: &str) -> io::Result<()> {
     write!(out, "{:x}\r\n{text}\r\n", text.len())?;
     out.flush()
 }
--- a/crates/quay_standin/src/engine/mod.rs
+++ b/crates/quay_standin/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! A model engine behind HTTP that streams a made-up answer.
+//! Simulated model engine that streams placeholder text over HTTP.
 
 mod control;
 mod driver;
@@ -14,20 +14,20 @@
     tiny_http::Server,
 };
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections waiting to be accepted.
 const BACKLOG: i32 = 1_024;
 
-/// Interval at which the listener looks whether the engine has stopped.
-const STOP_LOOK: Duration = Duration::from_millis(50);
+/// Interval at which the listener checks whether the engine has stopped.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How a stand-in engine behaves.
+/// Behaviour of a simulated engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineSettings {
     /// Time from a request to its first token.
     pub prefill: Duration,
     /// Time between two tokens.
     pub token_gap: Duration,
-    /// Tokens in an answer, unless the request allows fewer.
+    /// Number of tokens in a completion, unless the request allows fewer.
     pub answer_tokens: u64,
     /// A prompt that contains this text crashes the engine.
     pub poison: Option<Box<str>>,
@@ -36,8 +36,8 @@
     /// Whether the text of a token is the time at which it was written, in
     /// microseconds since the Unix epoch: `us1764800000000000 `.
     pub stamps: bool,
-    /// Costs and sizes of a modelled engine that batches continuously and has a
-    /// prefix cache; without them `prefill` and `token_gap` are all there is.
+    /// Settings of an engine model with continuous batching and a prefix cache.
+    /// Without a model, `prefill` and `token_gap` alone determine the timing.
     pub model: Option<ModelSettings>,
 }
 
@@ -55,20 +55,20 @@
     }
 }
 
-/// What an engine has counted.
+/// Counters of an engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct EngineCounts {
-    /// Answers that were begun.
+    /// Completions started.
     pub started: u64,
-    /// Connections that went on with an answer.
+    /// Requests to resume a stream, including those with an unknown ID.
     pub resumed: u64,
-    /// Answers that were cancelled before their end.
+    /// Completions cancelled before their end.
     pub cancelled: u64,
-    /// Answers in progress.
+    /// Completions in progress.
     pub running: u64,
 }
 
-/// A running stand-in engine; dropping it closes its listener.
+/// A running simulated engine; dropping it closes its listener.
 #[derive(Debug)]
 pub struct Engine {
     addr: SocketAddr,
@@ -80,37 +80,39 @@
     ///
     /// # Errors
     ///
-    /// Fails if the address is taken.
+    /// Fails if the socket or a thread cannot be created, for instance because
+    /// the address is in use.
     pub fn start(listen: SocketAddr, settings: EngineSettings) -> io::Result<Self> {
         let listener = bind(listen)?;
         SockRef::from(&listener).listen(BACKLOG)?;
         let addr = listener.local_addr()?;
         let server = Server::from_listener(listener, None).map_err(io::Error::other)?;
         let streams = Arc::new(Streams::new(settings)?);
-        let accepting = Arc::clone(&streams);
+        let served_streams = Arc::clone(&streams);
         thread::Builder::new()
             .name("engine".into())
-            .spawn(move || accept(&server, &accepting))?;
+            .spawn(move || accept(&server, &served_streams))?;
         Ok(Self { addr, streams })
     }
 
-    /// Address that the engine listens on.
+    /// Address on which the engine listens.
     #[must_use]
     pub const fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Makes every open connection silent for good; new ones work.
+    /// Stops sending on all open connections permanently; new connections work.
     pub fn stall_connections(&self) {
         self.streams.stall_connections();
     }
 
-    /// Stops as a crash would: no answer ends, no connection is taken.
+    /// Simulates a crash: open streams end incomplete and no connections are
+    /// accepted.
     pub fn crash(&self) {
         self.streams.crash();
     }
 
-    /// What the engine has counted.
+    /// Current counters.
     #[must_use]
     pub fn counts(&self) -> EngineCounts {
         self.streams.counts()
@@ -123,10 +125,10 @@
     }
 }
 
-/// Gives each request a thread of its own until the engine stops.
+/// Serves each request on its own thread until the engine stops.
 fn accept(server: &Server, streams: &Arc<Streams>) {
     while !streams.crashed() {
-        let Ok(Some(req)) = server.recv_timeout(STOP_LOOK) else {
+        let Ok(Some(req)) = server.recv_timeout(STOP_POLL_INTERVAL) else {
             continue;
         };
         let streams = Arc::clone(streams);
--- a/crates/quay_standin/src/engine/stream.rs
+++ b/crates/quay_standin/src/engine/stream.rs
@@ -1,4 +1,4 @@
-//! Answers in progress, which outlive the connections that read them.
+//! Streams of completions, which outlive the connections that read them.
 
 use {
     crate::{
@@ -18,79 +18,81 @@
     },
 };
 
-/// Bytes of prompt that count as one token.
+/// Prompt bytes counted as one token.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// Exit code of an engine that crashed on purpose.
-const CRASHED: i32 = 70;
+/// Exit code of a simulated crash.
+const CRASH_EXIT_CODE: i32 = 70;
 
-/// Longest wait for a token before a connection looks around.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+/// Maximum wait for a token before a connection checks for stalls and crashes.
+const TOKEN_WAIT: Duration = Duration::from_millis(100);
 
-/// Answers that are kept after their end, for late resumes.
-const KEPT: usize = 4_096;
+/// Maximum number of streams kept; completed streams can still be resumed. The
+/// oldest stream is evicted first.
+const MAX_STREAMS: usize = 4_096;
 
-/// Where an answer stands.
+/// Progress of a completion.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Standing {
+pub struct Progress {
     /// Tokens generated.
     pub tokens: u64,
-    /// Whether it is whole.
+    /// Whether all tokens have been generated.
     pub done: bool,
-    /// Whether it was cancelled.
+    /// Whether the completion was cancelled.
     pub cancelled: bool,
-    /// Whether the engine crashed before it was whole.
+    /// Whether the engine crashed before the completion was done.
     pub crashed: bool,
-    /// Prompt tokens found in the prefix cache.
+    /// Number of prompt tokens found in the prefix cache.
     pub cached: u64,
 }
 
-/// One answer.
+/// One completion.
 #[derive(Debug)]
 pub struct Stream {
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt: u64,
-    /// Tokens that the answer will have.
+    /// Number of tokens that the completion will have.
     pub tokens: u64,
-    /// Whether the request's limit cuts it.
+    /// Whether the request's token limit truncates the completion.
     pub limited: bool,
-    standing: Mutex<Standing>,
-    moved: Condvar,
-    /// Its job, if the engine is modelled.
+    progress: Mutex<Progress>,
+    changed: Condvar,
+    /// Job of the completion, if the engine has a model.
     job: Mutex<Option<JobId>>,
 }
 
 impl Stream {
-    /// Locks where the answer stands.
-    fn standing(&self) -> MutexGuard<'_, Standing> {
-        self.standing.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Locks the progress.
+    fn progress(&self) -> MutexGuard<'_, Progress> {
+        self.progress.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits for more than `tokens` tokens or the end, for a while.
-    pub fn wait_beyond(&self, tokens: u64) -> Standing {
-        let standing = self.standing();
-        if standing.tokens > tokens || standing.done || standing.cancelled || standing.crashed {
-            return *standing;
+    /// Waits, for at most [`TOKEN_WAIT`], until the completion has more than
+    /// `tokens` tokens or ends.
+    pub fn wait_beyond(&self, tokens: u64) -> Progress {
+        let progress = self.progress();
+        if progress.tokens > tokens || progress.done || progress.cancelled || progress.crashed {
+            return *progress;
         }
-        let waited = self.moved.wait_timeout(standing, LOOK_EVERY);
+        let waited = self.changed.wait_timeout(progress, TOKEN_WAIT);
         *waited.unwrap_or_else(PoisonError::into_inner).0
     }
 
-    /// Changes where the answer stands and wakes its readers.
-    pub fn change(&self, change: impl FnOnce(&mut Standing)) {
-        change(&mut self.standing());
-        self.moved.notify_all();
+    /// Updates the progress and wakes waiting readers.
+    pub fn update(&self, update: impl FnOnce(&mut Progress)) {
+        update(&mut self.progress());
+        self.changed.notify_all();
     }
 }
 
-/// Every answer of one engine.
+/// All streams of one engine.
 #[derive(Debug)]
 pub struct Streams {
     settings: EngineSettings,
     driver: Option<Arc<Driver>>,
-    known: Mutex<IndexMap<Box<str>, Arc<Stream>>>,
-    /// Rises when open connections fall silent.
-    silence: AtomicU64,
+    by_id: Mutex<IndexMap<Box<str>, Arc<Stream>>>,
+    /// Incremented to stall all connections that are open at that time.
+    stall_epoch: AtomicU64,
     crashed: AtomicBool,
     started: AtomicU64,
     resumed: AtomicU64,
@@ -98,18 +100,18 @@
 }
 
 impl Streams {
-    /// No answers yet.
+    /// Creates an engine without streams, and starts its model if it has one.
     ///
     /// # Errors
     ///
-    /// Fails if the system gives no thread.
+    /// Fails if the model's thread cannot be created.
     pub fn new(settings: EngineSettings) -> io::Result<Self> {
         let driver = settings.model.map(Driver::start).transpose()?;
         Ok(Self {
             settings,
             driver,
-            known: Mutex::default(),
-            silence: AtomicU64::new(0),
+            by_id: Mutex::default(),
+            stall_epoch: AtomicU64::new(0),
             crashed: AtomicBool::new(false),
             started: AtomicU64::new(0),
             resumed: AtomicU64::new(0),
@@ -117,8 +119,8 @@
         })
     }
 
-    /// Text of the token after `written` others.
-    pub fn word(&self, written: u64) -> String {
+    /// Text of the token at position `written`, from 0.
+    pub fn token_text(&self, written: u64) -> String {
         if !self.settings.stamps {
             return format!("word{written} ");
         }
@@ -126,44 +128,44 @@
         format!("us{} ", now.unwrap_or_default().as_micros())
     }
 
-    /// The modelled engine, if there is one.
+    /// Driver of the engine model, if there is one.
     pub fn driver(&self) -> Option<&Driver> {
         self.driver.as_deref()
     }
 
-    /// Locks the answers.
-    fn known(&self) -> MutexGuard<'_, IndexMap<Box<str>, Arc<Stream>>> {
-        self.known.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Locks the streams.
+    fn lock(&self) -> MutexGuard<'_, IndexMap<Box<str>, Arc<Stream>>> {
+        self.by_id.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Begins an answer, or finds the one that `id` began before.
+    /// Starts a stream, or returns the existing stream with this ID.
     pub fn start(self: &Arc<Self>, id: &str, prompt: &str, limit: Option<u64>) -> Arc<Stream> {
-        let mut streams = self.known();
+        let mut streams = self.lock();
         if let Some(stream) = streams.get(id) {
             return Arc::clone(stream);
         }
-        let whole = self.settings.answer_tokens;
-        let tokens = limit.map_or(whole, |limit| whole.min(limit));
+        let full_length = self.settings.answer_tokens;
+        let tokens = limit.map_or(full_length, |limit| full_length.min(limit));
         let stream = Arc::new(Stream {
             prompt: prompt.len().div_ceil(BYTES_PER_TOKEN) as u64,
             tokens,
-            limited: tokens < whole,
-            standing: Mutex::default(),
-            moved: Condvar::new(),
+            limited: tokens < full_length,
+            progress: Mutex::default(),
+            changed: Condvar::new(),
             job: Mutex::default(),
         });
-        if streams.len() >= KEPT {
+        if streams.len() >= MAX_STREAMS {
             streams.shift_remove_index(0);
         }
         streams.insert(id.into(), Arc::clone(&stream));
         self.started.fetch_add(1, Ordering::Relaxed);
         drop(streams);
-        self.run(&stream, prompt);
+        self.start_generation(&stream, prompt);
         stream
     }
 
-    /// Has the tokens of an answer made.
-    fn run(self: &Arc<Self>, stream: &Arc<Stream>, prompt: &str) {
+    /// Starts generating the tokens of a stream, by the model if there is one.
+    fn start_generation(self: &Arc<Self>, stream: &Arc<Stream>, prompt: &str) {
         let poison = self.is_poison(prompt);
         let Some(driver) = &self.driver else {
             let (engine, generated) = (Arc::clone(self), Arc::clone(stream));
@@ -173,63 +175,63 @@
         let job = driver.submit(stream, &block_hashes(prompt.as_bytes()), poison);
         *stream.job.lock().unwrap_or_else(PoisonError::into_inner) = job;
         if job.is_none() {
-            stream.change(|standing| standing.cancelled = true);
+            stream.update(|progress| progress.cancelled = true);
         }
     }
 
-    /// Whether a prompt crashes the engine.
+    /// Whether the prompt crashes the engine.
     fn is_poison(&self, prompt: &str) -> bool {
         let poison = self.settings.poison.as_deref();
         poison.is_some_and(|poison| prompt.contains(poison))
     }
 
-    /// Generates the tokens of one answer.
+    /// Generates the tokens of one stream without a model.
     fn generate(&self, stream: &Stream) {
         thread::sleep(self.settings.prefill);
         for _ in 0..stream.tokens {
-            if self.crashed() || stream.standing().cancelled {
+            if self.crashed() || stream.progress().cancelled {
                 return;
             }
-            stream.change(|standing| standing.tokens += 1);
+            stream.update(|progress| progress.tokens += 1);
             if !self.settings.token_gap.is_zero() {
                 thread::sleep(self.settings.token_gap);
             }
         }
-        stream.change(|standing| standing.done = true);
+        stream.update(|progress| progress.done = true);
     }
 
-    /// The answer of an id, for a connection that goes on with it.
+    /// Finds the stream that a connection resumes, and counts the request.
     pub fn resume(&self, id: &str) -> Option<Arc<Stream>> {
         self.resumed.fetch_add(1, Ordering::Relaxed);
-        self.known().get(id).cloned()
+        self.lock().get(id).cloned()
     }
 
-    /// Cancels an answer; whether it was known.
+    /// Cancels a stream. Returns whether the ID is known.
     pub fn cancel(&self, id: &str) -> bool {
-        let Some(stream) = self.known().get(id).cloned() else {
+        let Some(stream) = self.lock().get(id).cloned() else {
             return false;
         };
         let job = *stream.job.lock().unwrap_or_else(PoisonError::into_inner);
         if let (Some(driver), Some(job)) = (&self.driver, job) {
             driver.cancel(job);
         }
-        stream.change(|standing| {
-            if !standing.done && !standing.cancelled {
-                standing.cancelled = true;
+        stream.update(|progress| {
+            if !progress.done && !progress.cancelled {
+                progress.cancelled = true;
                 self.cancelled.fetch_add(1, Ordering::Relaxed);
             }
         });
         true
     }
 
-    /// Number that changes when open connections fall silent.
-    pub fn silence_number(&self) -> u64 {
-        self.silence.load(Ordering::Relaxed)
+    /// Number that changes when open connections are stalled.
+    pub fn stall_epoch(&self) -> u64 {
+        self.stall_epoch.load(Ordering::Relaxed)
     }
 
-    /// Makes open connections silent.
+    /// Stalls all open connections.
     pub fn stall_connections(&self) {
-        self.silence.fetch_add(1, Ordering::Relaxed);
+        self.stall_epoch.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Whether the engine has crashed.
@@ -237,27 +239,27 @@
         self.crashed.load(Ordering::Relaxed)
     }
 
-    /// Crashes the engine.
+    /// Crashes the engine; exits the process if the settings say so.
     pub fn crash(&self) {
         if self.settings.crash_exits {
-            process::exit(CRASHED);
+            process::exit(CRASH_EXIT_CODE);
         }
         self.crashed.store(true, Ordering::Relaxed);
     }
 
-    /// Crashes if `prompt` is poison.
-    pub fn swallow(&self, prompt: &str) {
+    /// Crashes the engine if the prompt contains the poison text.
+    pub fn crash_if_poison(&self, prompt: &str) {
         if self.is_poison(prompt) {
             self.crash();
         }
     }
 
-    /// What the engine has counted.
+    /// Current counters of the engine.
     pub fn counts(&self) -> EngineCounts {
-        let streams = self.known();
+        let streams = self.lock();
         let running = streams.values().filter(|stream| {
-            let standing = stream.standing();
-            !standing.done && !standing.cancelled
+            let progress = stream.progress();
+            !progress.done && !progress.cancelled
         });
         EngineCounts {
             started: self.started.load(Ordering::Relaxed),
--- a/crates/quay_standin/src/lib.rs
+++ b/crates/quay_standin/src/lib.rs
@@ -1,8 +1,8 @@
-//! Small stand-ins of the systems that sapphirequay meets: a model engine, a
-//! plain service and a weight store.
+//! Simulated servers for tests and experiments: a model engine, a plain service
+//! and a weight store.
 //!
-//! They serve real HTTP on loopback, so that the daemon is met through the same
-//! protocol as in production.
+//! The servers use real HTTP on loopback, so that the daemon is tested through the
+//! same protocol as in production.
 //!
 //! ```
 //! use quay_standin::{Engine, EngineSettings};
--- a/crates/quay_standin/src/listen.rs
+++ b/crates/quay_standin/src/listen.rs
@@ -1,4 +1,4 @@
-//! Listening sockets that bear a burst of connections.
+//! Listening sockets with a backlog large enough for bursts of connections.
 
 use {
     socket2::{Domain, Socket, Type},
@@ -8,11 +8,12 @@
     },
 };
 
-/// Connections that may wait to be accepted. With the 128 of the standard
-/// library a burst of 500 overflows, and its callers connect seconds late.
+/// Maximum number of connections waiting to be accepted. The standard library's
+/// backlog of 128 overflows in a burst of 500 connections, which delays some of
+/// them by seconds.
 const BACKLOG: i32 = 4_096;
 
-/// Listens on `addr`.
+/// Binds a socket to `addr` and listens on it.
 pub fn bind(addr: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(addr), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
--- a/crates/quay_standin/src/model/cache.rs
+++ b/crates/quay_standin/src/model/cache.rs
@@ -1,4 +1,4 @@
-//! Prefix cache in a bounded number of blocks, with eviction of the least recently used.
+//! Prefix cache with a bounded number of blocks and LRU eviction.
 
 use {
     super::ModelSettings,
@@ -7,75 +7,79 @@
     std::collections::{BTreeSet, VecDeque},
 };
 
-/// Cache events that are kept for publishing at most.
+/// Maximum number of cache events kept until they are taken; the oldest are
+/// dropped first.
 const MAX_EVENTS: usize = 65_536;
 
-/// A change of the cache's content.
+/// A change to the cache's content.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CacheChange {
-    /// The block with this hash is held now.
+    /// The block with this hash was stored.
     Stored(u64),
-    /// The block with this hash is no longer held.
+    /// The block with this hash was evicted.
     Evicted(u64),
-    /// Nothing is held any more.
+    /// All blocks were removed.
     Cleared,
 }
 
-/// A published change; a missing sequence number is a lost event.
+/// A published change. A gap in the sequence numbers means lost events.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CacheEvent {
-    /// Rises by one with each change, published or not.
+    /// Number of the change; increases by one with each change, published or
+    /// not.
     pub sequence: u64,
-    /// When the change happened.
+    /// Time of the change.
     pub at: Time,
     /// The change.
     pub change: CacheChange,
 }
 
-/// The whole content of the cache.
+/// Snapshot of the cache's content.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CacheSnapshot {
-    /// Sequence number of the last change that is in the snapshot.
+    /// Sequence number of the last change included in the snapshot.
     pub sequence: u64,
-    /// Hashes that are held.
+    /// Hashes of the cached blocks.
     pub blocks: Box<[u64]>,
 }
 
-/// KV content taken out of an engine.
+/// KV blocks exported from an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KvExport {
-    /// Leading hashes of a prompt, in order.
+    /// Hashes of the leading blocks of a prompt, in order.
     pub blocks: Box<[u64]>,
 }
 
-/// One held block.
+/// A cached block.
 #[derive(Debug, Clone, Copy)]
 struct Block {
-    /// Running jobs that read the block.
+    /// Number of running jobs that use the block.
     refs: u32,
-    /// Position in the prompt; of two equally old blocks the later one goes first.
+    /// Position in the prompt. Of two blocks last used at the same time, the
+    /// one with the greater depth is evicted first.
     depth: u32,
     last_used: Time,
     shared: bool,
 }
 
 impl Block {
-    /// Order of eviction: oldest first, then the end of a prefix before its start.
-    fn rank(&self, hash: u64) -> (Time, u32, u64) {
+    /// Sort key for eviction: least recently used first, then the end of a prefix
+    /// before its start.
+    fn eviction_key(&self, hash: u64) -> (Time, u32, u64) {
         (self.last_used, u32::MAX - self.depth, hash)
     }
 }
 
-/// The cache.
+/// Prefix cache of an engine.
 #[derive(Debug)]
 pub(super) struct PrefixCache {
     capacity: usize,
-    /// Blocks in use that have no hash.
+    /// Number of blocks without a hash, which running jobs use.
     anonymous: usize,
     blocks: IndexMap<u64, Block>,
-    /// Blocks that no running job reads, in order of eviction.
+    /// Cached blocks that no running job uses, in order of eviction.
     unused: BTreeSet<(Time, u32, u64)>,
-    /// How many of `unused` are not shared among programs.
+    /// Number of blocks in `unused` that are not shared among programs.
     idle: usize,
     events: VecDeque<CacheEvent>,
     sequence: u64,
@@ -98,42 +102,43 @@
         }
     }
 
-    /// Leading hashes that are held.
+    /// Number of leading hashes whose blocks are cached.
     pub(super) fn matched(&self, hashes: &[u64]) -> usize {
-        let held = |hash: &&u64| self.blocks.contains_key(*hash);
-        hashes.iter().take_while(held).count()
+        let cached = |hash: &&u64| self.blocks.contains_key(*hash);
+        hashes.iter().take_while(cached).count()
     }
 
-    /// Blocks that a job could still get.
+    /// Number of blocks that are free or evictable.
     pub(super) fn available(&self) -> usize {
-        let held = self.blocks.len() + self.anonymous - self.unused.len();
-        self.capacity.saturating_sub(held)
+        let in_use = self.blocks.len() + self.anonymous - self.unused.len();
+        self.capacity.saturating_sub(in_use)
     }
 
-    /// Blocks that running jobs read, in thousandths of the memory.
+    /// Share of the capacity that running jobs use, in thousandths.
     pub(super) fn used_permille(&self) -> u16 {
         let used = self.capacity - self.available();
         u16::try_from(used * 1_000 / self.capacity.max(1)).unwrap_or(u16::MAX)
     }
 
-    /// Unshared blocks that no running job reads.
+    /// Number of blocks that no running job uses and that are not shared among
+    /// programs.
     pub(super) const fn idle(&self) -> usize {
         self.idle
     }
 
-    /// Notes that a running job reads a block that is held.
+    /// Adds a running job's reference to a cached block.
     pub(super) fn pin(&mut self, hash: u64) {
         let Some(block) = self.blocks.get_mut(&hash) else {
             return;
         };
         if block.refs == 0 {
-            self.unused.remove(&block.rank(hash));
+            self.unused.remove(&block.eviction_key(hash));
             self.idle -= usize::from(!block.shared);
         }
         block.refs += 1;
     }
 
-    /// Notes that a running job has done with a block.
+    /// Removes a running job's reference to a block.
     pub(super) fn unpin(&mut self, now: Time, hash: u64) {
         let Some(block) = self.blocks.get_mut(&hash) else {
             return;
@@ -141,13 +146,14 @@
         block.refs = block.refs.saturating_sub(1);
         block.last_used = now;
         if block.refs == 0 {
-            self.unused.insert(block.rank(hash));
+            self.unused.insert(block.eviction_key(hash));
             self.idle += usize::from(!block.shared);
         }
     }
 
-    /// Takes a block for a running job; false if the memory is full of blocks in use.
-    pub(super) fn take(&mut self, now: Time, hash: u64, depth: u32, shared: bool) -> bool {
+    /// Stores a block, or reuses the cached one, and adds a running job's
+    /// reference. Returns false if running jobs use all blocks.
+    pub(super) fn acquire(&mut self, now: Time, hash: u64, depth: u32, shared: bool) -> bool {
         if self.blocks.contains_key(&hash) {
             self.pin(hash);
             return true;
@@ -162,42 +168,44 @@
             shared,
         };
         self.blocks.insert(hash, block);
-        self.note(now, CacheChange::Stored(hash));
+        self.record(now, CacheChange::Stored(hash));
         true
     }
 
-    /// Takes a block without a hash.
-    pub(super) fn take_anonymous(&mut self, now: Time) -> bool {
-        let room = self.make_room(now);
-        self.anonymous += usize::from(room);
-        room
+    /// Allocates a block without a hash. Returns false if running jobs use all
+    /// blocks.
+    pub(super) fn acquire_anonymous(&mut self, now: Time) -> bool {
+        let allocated = self.make_room(now);
+        self.anonymous += usize::from(allocated);
+        allocated
     }
 
-    /// Gives blocks without a hash back.
-    pub(super) fn give_anonymous(&mut self, count: usize) {
+    /// Frees blocks without a hash.
+    pub(super) fn free_anonymous(&mut self, count: usize) {
         self.anonymous = self.anonymous.saturating_sub(count);
     }
 
-    /// Drops those of `hashes` that no running job reads.
+    /// Evicts those of `hashes` that no running job uses.
     pub(super) fn release(&mut self, now: Time, hashes: &[u64]) {
         for hash in hashes {
             let unused = self.blocks.get(hash).is_some_and(|block| block.refs == 0);
             if unused {
-                self.drop_block(now, *hash);
+                self.evict(now, *hash);
             }
         }
     }
 
-    /// Drops everything.
+    /// Removes all blocks.
     pub(super) fn clear(&mut self, now: Time) {
         self.blocks.clear();
         self.unused.clear();
         self.anonymous = 0;
         self.idle = 0;
-        self.note(now, CacheChange::Cleared);
+        self.record(now, CacheChange::Cleared);
     }
 
-    /// Frees one block if none is free.
+    /// Evicts a block if the cache is full. Returns false if running jobs use all
+    /// blocks.
     fn make_room(&mut self, now: Time) -> bool {
         if self.blocks.len() + self.anonymous < self.capacity {
             return true;
@@ -205,25 +213,25 @@
         let Some((.., hash)) = self.unused.first().copied() else {
             return false;
         };
-        self.drop_block(now, hash);
+        self.evict(now, hash);
         true
     }
 
-    /// Drops a block that no running job reads.
-    fn drop_block(&mut self, now: Time, hash: u64) {
+    /// Evicts a block that no running job uses.
+    fn evict(&mut self, now: Time, hash: u64) {
         let Some(block) = self.blocks.swap_remove(&hash) else {
             return;
         };
-        self.unused.remove(&block.rank(hash));
+        self.unused.remove(&block.eviction_key(hash));
         self.idle -= usize::from(!block.shared);
-        self.note(now, CacheChange::Evicted(hash));
+        self.record(now, CacheChange::Evicted(hash));
     }
 
     // -----------------------------------------------------------------------
     // Events
 
-    /// Records a change, unless it is one of those that get lost.
-    fn note(&mut self, at: Time, change: CacheChange) {
+    /// Records a change; a share of `loss_permille` is lost instead.
+    fn record(&mut self, at: Time, change: CacheChange) {
         self.sequence += 1;
         if mix(self.seed ^ self.sequence) % 1_000 < self.loss_permille {
             return;
@@ -238,13 +246,13 @@
         });
     }
 
-    /// Takes the events that happened at `until` or before.
+    /// Removes and returns the events up to and including `until`.
     pub(super) fn take_events(&mut self, until: Time) -> Vec<CacheEvent> {
-        let ripe = self.events.partition_point(|event| event.at <= until);
-        self.events.drain(..ripe).collect()
+        let due = self.events.partition_point(|event| event.at <= until);
+        self.events.drain(..due).collect()
     }
 
-    /// Everything that is held now.
+    /// Current content of the cache.
     pub(super) fn snapshot(&self) -> CacheSnapshot {
         CacheSnapshot {
             sequence: self.sequence,
@@ -253,7 +261,7 @@
     }
 }
 
-/// The finaliser of splitmix64.
+/// Finaliser of the splitmix64 generator, which selects the lost events.
 fn mix(value: u64) -> u64 {
     let value = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/quay_standin/src/model/engine.rs
+++ b/crates/quay_standin/src/model/engine.rs
@@ -1,4 +1,4 @@
-//! Continuous batching over a prefix cache.
+//! Engine model with continuous batching and a prefix cache.
 
 use {
     super::{
@@ -9,45 +9,48 @@
     std::{collections::VecDeque, time::Duration},
 };
 
-/// Weight of the newest step in the mean, as a divisor.
-const STEP_MEAN: u32 = 16;
+/// Reciprocal of the latest step's weight in the moving average of step
+/// durations.
+const STEP_MEAN_DIVISOR: u32 = 16;
 
-/// Parts in one of the slowdown factor.
+/// Slowdown factor, in per cent, of an engine at its normal speed.
 const PER_CENT: u32 = 100;
 
 /// A job in the batch.
 #[derive(Debug)]
 struct Running {
     job: Job,
-    /// Tokens to read before the first new one: the prompt, and after a
-    /// preemption what had been generated.
+    /// Number of tokens to prefill before the next token can be generated: the
+    /// prompt, and after a preemption also the tokens generated before it.
     target: u32,
-    /// Tokens whose KV is held.
+    /// Number of tokens whose KV content is in memory.
     held: u32,
-    /// Tokens generated.
+    /// Number of tokens generated.
     output: u32,
-    /// Blocks taken, with and without a hash.
-    taken: u32,
-    /// Blocks taken that have no hash.
+    /// Number of blocks acquired, with and without a hash.
+    blocks: u32,
+    /// Number of acquired blocks without a hash.
     anonymous: u32,
-    /// Prompt tokens that the step under way prefills.
+    /// Number of prompt tokens prefilled by the step in progress.
     chunk: u32,
 }
 
-/// An engine that batches continuously, admits in order of arrival and knows
-/// no priorities.
+/// Engine with continuous batching that admits jobs in order of arrival, without
+/// priorities.
 #[derive(Debug)]
 pub struct EngineModel {
     settings: ModelSettings,
     cache: PrefixCache,
+    /// Jobs before admission, with the number of tokens generated before a
+    /// preemption.
     waiting: VecDeque<(Job, u32)>,
     running: Vec<Running>,
-    /// End of the step under way.
+    /// End of the step in progress.
     step_end: Option<Time>,
-    /// Mean duration of recent steps.
+    /// Moving average of step durations.
     mean_step: Duration,
-    /// Time of imports that the next step has to bear.
-    import_debt: Duration,
+    /// Import time to add to the next step.
+    pending_import_time: Duration,
     slowdown_per_cent: u32,
     down: bool,
     events: Vec<JobEvent>,
@@ -56,7 +59,7 @@
 }
 
 impl EngineModel {
-    /// An idle engine with an empty cache.
+    /// Creates an idle engine with an empty cache.
     #[must_use]
     pub fn new(settings: ModelSettings) -> Self {
         Self {
@@ -65,7 +68,7 @@
             running: Vec::new(),
             step_end: None,
             mean_step: Duration::ZERO,
-            import_debt: Duration::ZERO,
+            pending_import_time: Duration::ZERO,
             slowdown_per_cent: PER_CENT,
             down: false,
             events: Vec::new(),
@@ -78,12 +81,12 @@
     // -----------------------------------------------------------------------
     // Jobs
 
-    /// Hands a job over; it joins the batch when there is room. False if the
-    /// engine is down or its whole memory could not hold the job.
+    /// Queues a job. Returns false if the engine is down or the job needs as many
+    /// blocks as the whole KV memory, or more.
     pub fn submit(&mut self, now: Time, job: Job) -> bool {
         self.advance(now);
-        let most = (job.prompt + job.output).div_ceil(self.settings.block_tokens);
-        if self.down || most >= self.settings.kv_blocks {
+        let max_blocks = (job.prompt + job.output).div_ceil(self.settings.block_tokens);
+        if self.down || max_blocks >= self.settings.kv_blocks {
             return false;
         }
         self.waiting.push_back((job, 0));
@@ -91,23 +94,23 @@
         true
     }
 
-    /// Takes a job out at once; its whole blocks stay in the cache.
+    /// Cancels a job at once; its blocks that have a hash stay cached.
     pub fn cancel(&mut self, now: Time, id: JobId) {
         self.advance(now);
         self.waiting.retain(|(job, _)| job.id != id);
         if let Some(at) = self.running.iter().position(|running| running.job.id == id) {
             let running = self.running.remove(at);
-            self.give_back(now, &running);
+            self.release_blocks(now, &running);
         }
     }
 
-    /// When the step under way ends; `None` if there is nothing to do.
+    /// Time at which the step in progress ends; `None` if the engine is idle.
     #[must_use]
     pub const fn next_at(&self) -> Option<Time> {
         self.step_end
     }
 
-    /// Runs every step that ends at `now` or before.
+    /// Runs all steps that end at or before `now`.
     pub fn advance(&mut self, now: Time) {
         while let Some(end) = self.step_end.filter(|end| *end <= now) {
             self.finish_step(end);
@@ -116,12 +119,12 @@
         self.sample(now);
     }
 
-    /// Takes what happened to jobs since the last call.
+    /// Removes and returns the job events since the last call.
     pub fn take_events(&mut self) -> Vec<JobEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// Jobs in the batch and before it.
+    /// Number of running and waiting jobs.
     #[must_use]
     pub fn jobs(&self) -> usize {
         self.running.len() + self.waiting.len()
@@ -130,7 +133,8 @@
     // -----------------------------------------------------------------------
     // Faults
 
-    /// Ends every job and empties the cache; the engine stays down.
+    /// Ends all jobs and clears the cache; the engine stays down until
+    /// [`EngineModel::restart`].
     pub fn crash(&mut self, now: Time) {
         let lost = self.running.drain(..).map(|running| running.job.id);
         let lost = lost.chain(self.waiting.drain(..).map(|(job, _)| job.id));
@@ -141,18 +145,18 @@
         self.down = true;
     }
 
-    /// Takes work again after a crash.
+    /// Restarts the engine after a crash.
     pub fn restart(&mut self) {
         self.down = false;
     }
 
-    /// Whether the engine has crashed and was not restarted.
+    /// Whether the engine has crashed and has not been restarted.
     #[must_use]
     pub const fn is_down(&self) -> bool {
         self.down
     }
 
-    /// Makes every step take `per_cent` of its usual time from now on.
+    /// Sets the duration of all later steps to `per_cent` of the normal duration.
     pub fn set_slowdown(&mut self, per_cent: u32) {
         self.slowdown_per_cent = per_cent;
     }
@@ -160,18 +164,19 @@
     // -----------------------------------------------------------------------
     // Cache
 
-    /// Cache events that are old enough to be known, less those that got lost.
+    /// Removes and returns the cache events published by `now`, without the lost
+    /// ones.
     pub fn cache_events(&mut self, now: Time) -> Vec<CacheEvent> {
         self.cache.take_events(now - self.settings.event_lag)
     }
 
-    /// Everything that the cache holds now.
+    /// Current content of the cache.
     #[must_use]
     pub fn cache_snapshot(&self) -> CacheSnapshot {
         self.cache.snapshot()
     }
 
-    /// Copies the leading blocks that are held out of the engine.
+    /// Exports the leading blocks that are cached.
     #[must_use]
     pub fn export(&self, blocks: &[u64]) -> KvExport {
         KvExport {
@@ -179,32 +184,34 @@
         }
     }
 
-    /// Puts exported blocks back; returns how many found room.
+    /// Imports exported blocks, the first `shared` of which are shared among
+    /// programs. Returns how many fitted into the cache.
     pub fn import(&mut self, now: Time, export: &KvExport, shared: u32) -> usize {
         self.advance(now);
-        let mut taken = 0;
+        let mut imported = 0;
         for (hash, depth) in export.blocks.iter().zip(0..) {
-            let known = self.cache.matched(&[*hash]) == 1;
-            if !self.cache.take(now, *hash, depth, depth < shared) {
+            let cached = self.cache.matched(&[*hash]) == 1;
+            if !self.cache.acquire(now, *hash, depth, depth < shared) {
                 break;
             }
-            if !known {
-                self.import_debt += self.settings.import_per_block;
+            if !cached {
+                self.pending_import_time += self.settings.import_per_block;
             }
-            taken += 1;
+            imported += 1;
         }
-        for hash in &export.blocks[..taken] {
+        for hash in &export.blocks[..imported] {
             self.cache.unpin(now, *hash);
         }
-        taken
+        imported
     }
 
-    /// Drops those of `blocks` that no job uses.
+    /// Evicts those of `blocks` that no running job uses.
     pub fn release(&mut self, now: Time, blocks: &[u64]) {
         self.cache.release(now, blocks);
     }
 
-    /// Blocks held for no running job, less those that programs share.
+    /// Number of cached blocks that no running job uses, without those shared
+    /// among programs.
     #[must_use]
     pub const fn idle_blocks(&self) -> usize {
         self.cache.idle()
@@ -213,27 +220,28 @@
     // -----------------------------------------------------------------------
     // Load and orders
 
-    /// The newest load report that is old enough to be known.
+    /// Latest load report published by `now`.
     pub fn load(&mut self, now: Time) -> Option<LoadReport> {
         self.sample(now);
         self.reports.newest(now)
     }
 
-    /// Carries out an order.
+    /// Applies an order.
     ///
     /// # Errors
     ///
-    /// Refuses an old fence number, if the settings have it checked.
+    /// [`OrderError::StaleFence`] if the fence number is stale and the settings
+    /// enable the check.
     pub fn order(&mut self, now: Time, order: Order) -> Result<(), OrderError> {
-        self.orders.carry_out(now, order)
+        self.orders.apply(now, order)
     }
 
-    /// Models that were loaded by orders and can serve now.
+    /// Models loaded by orders that can serve at `now`.
     pub fn models(&self, now: Time) -> impl Iterator<Item = ModelId> {
         self.orders.serving(now)
     }
 
-    /// Role that the engine was ordered to take.
+    /// Role set by the latest role order.
     #[must_use]
     pub const fn role(&self) -> EngineRole {
         self.orders.role()
@@ -242,8 +250,8 @@
     fn sample(&mut self, now: Time) {
         let report = LoadReport {
             at: now,
-            running: count(self.running.len()),
-            waiting: count(self.waiting.len()),
+            running: saturating_u32(self.running.len()),
+            waiting: saturating_u32(self.waiting.len()),
             kv_permille: self.cache.used_permille(),
             token_gap_us: u32::try_from(self.mean_step.as_micros()).unwrap_or(u32::MAX),
         };
@@ -253,7 +261,7 @@
     // -----------------------------------------------------------------------
     // Steps
 
-    /// Starts the next step unless one is under way or nothing is to do.
+    /// Starts the next step unless a step is in progress or there are no jobs.
     fn start_step(&mut self, now: Time) {
         if self.step_end.is_some() || self.down {
             return;
@@ -262,22 +270,23 @@
         if self.running.is_empty() {
             return;
         }
-        let span = self.plan();
-        self.mean_step = (self.mean_step * (STEP_MEAN - 1) + span) / STEP_MEAN;
-        self.step_end = Some(now + span);
+        let duration = self.plan_step();
+        self.mean_step = (self.mean_step * (STEP_MEAN_DIVISOR - 1) + duration) / STEP_MEAN_DIVISOR;
+        self.step_end = Some(now + duration);
     }
 
-    /// Fills the batch in order of arrival.
+    /// Admits waiting jobs to the batch in order of arrival.
     fn admit(&mut self, now: Time) {
         while self.running.len() < self.settings.max_batch as usize {
             let Some((job, output)) = self.waiting.front() else {
                 return;
             };
             let (target, output) = (job.prompt + output, *output);
-            let hits = self.hits(job, target);
+            let hits = self.cached_blocks(job, target);
             let needed = target.div_ceil(self.settings.block_tokens) - hits;
             let fits = self.cache.available() > needed as usize;
-            // A job that can never fit runs alone rather than wait for ever.
+            // If the batch is empty, the job is admitted even if it does not fit,
+            // as it would otherwise wait for ever.
             if !fits && !self.running.is_empty() {
                 return;
             }
@@ -298,38 +307,39 @@
                 target,
                 held: cached,
                 output,
-                taken: hits,
+                blocks: hits,
                 anonymous: 0,
                 chunk: 0,
             });
         }
     }
 
-    /// Blocks of the prompt that the cache spares; the last token is always read.
-    fn hits(&self, job: &Job, target: u32) -> u32 {
-        let whole = target.saturating_sub(1) / self.settings.block_tokens;
-        let known = job.blocks.len().min(whole as usize);
-        count(self.cache.matched(&job.blocks[..known]))
+    /// Number of leading blocks found in the cache. The last token is always
+    /// computed, so its block never counts.
+    fn cached_blocks(&self, job: &Job, target: u32) -> u32 {
+        let full_blocks = target.saturating_sub(1) / self.settings.block_tokens;
+        let known = job.blocks.len().min(full_blocks as usize);
+        saturating_u32(self.cache.matched(&job.blocks[..known]))
     }
 
-    /// Decides what the next step does; returns how long it takes.
-    fn plan(&mut self) -> Duration {
-        let mut room = self.settings.prefill_chunk;
-        let (mut decoding, mut context) = (0, 0);
+    /// Distributes the prefill tokens of the next step. Returns its duration.
+    fn plan_step(&mut self) -> Duration {
+        let mut prefill_left = self.settings.prefill_chunk;
+        let (mut decoding, mut context_blocks) = (0, 0);
         for running in &mut self.running {
-            let left = running.target.saturating_sub(running.held);
-            running.chunk = left.min(room);
-            room -= running.chunk;
-            decoding += u32::from(left == 0);
-            context += running.taken;
+            let remaining = running.target.saturating_sub(running.held);
+            running.chunk = remaining.min(prefill_left);
+            prefill_left -= running.chunk;
+            decoding += u32::from(remaining == 0);
+            context_blocks += running.blocks;
         }
-        let prefilled = self.settings.prefill_chunk - room;
-        let span = self.settings.step_base
+        let prefilled = self.settings.prefill_chunk - prefill_left;
+        let duration = self.settings.step_base
             + self.settings.step_per_job * decoding
-            + self.settings.step_per_block * context
+            + self.settings.step_per_block * context_blocks
             + self.settings.prefill_per_token * prefilled
-            + std::mem::take(&mut self.import_debt);
-        span * self.slowdown_per_cent / PER_CENT
+            + std::mem::take(&mut self.pending_import_time);
+        duration * self.slowdown_per_cent / PER_CENT
     }
 
     /// Applies the step that ends at `now`.
@@ -341,8 +351,8 @@
         }
         let mut at = 0;
         while at < self.running.len() {
-            if !self.progress(now, at) {
-                // Memory is full: the latest job goes back to the queue.
+            if !self.advance_job(now, at) {
+                // The KV memory is full: preempt the job admitted last.
                 if self.preempt(now) == at {
                     break;
                 }
@@ -350,7 +360,7 @@
             }
             if self.running[at].output >= self.running[at].job.output {
                 let running = self.running.remove(at);
-                self.give_back(now, &running);
+                self.release_blocks(now, &running);
                 self.events.push(JobEvent::Done {
                     job: running.job.id,
                     at: now,
@@ -361,8 +371,8 @@
         }
     }
 
-    /// Moves one job on by its part of the step; false if it finds no memory.
-    fn progress(&mut self, now: Time, at: usize) -> bool {
+    /// Applies the step to one job. Returns false if the KV memory is full.
+    fn advance_job(&mut self, now: Time, at: usize) -> bool {
         let running = &mut self.running[at];
         let generates = running.held + running.chunk >= running.target;
         let held = if running.chunk > 0 {
@@ -372,20 +382,20 @@
         } else {
             return true;
         };
-        while running.taken < held.div_ceil(self.settings.block_tokens) {
-            let depth = running.taken;
+        while running.blocks < held.div_ceil(self.settings.block_tokens) {
+            let depth = running.blocks;
             let known = running.job.blocks.get(depth as usize).copied();
-            let taken = match known {
+            let acquired = match known {
                 Some(hash) => self
                     .cache
-                    .take(now, hash, depth, depth < running.job.shared),
-                None => self.cache.take_anonymous(now),
+                    .acquire(now, hash, depth, depth < running.job.shared),
+                None => self.cache.acquire_anonymous(now),
             };
-            if !taken {
+            if !acquired {
                 return false;
             }
             running.anonymous += u32::from(known.is_none());
-            running.taken += 1;
+            running.blocks += 1;
         }
         running.held = held;
         running.chunk = 0;
@@ -401,27 +411,28 @@
         true
     }
 
-    /// Puts the latest job back to the head of the queue; returns its place.
+    /// Moves the job admitted last back to the head of the queue. Returns its
+    /// former index in the batch.
     fn preempt(&mut self, now: Time) -> usize {
         let Some(running) = self.running.pop() else {
             return 0;
         };
-        self.give_back(now, &running);
+        self.release_blocks(now, &running);
         self.waiting.push_front((running.job, running.output));
         self.running.len()
     }
 
-    /// Gives the blocks of a job back; those with a hash stay cached.
-    fn give_back(&mut self, now: Time, running: &Running) {
-        let known = running.job.blocks.len().min(running.taken as usize);
+    /// Releases the blocks of a job; those with a hash stay cached.
+    fn release_blocks(&mut self, now: Time, running: &Running) {
+        let known = running.job.blocks.len().min(running.blocks as usize);
         for hash in &running.job.blocks[..known] {
             self.cache.unpin(now, *hash);
         }
-        self.cache.give_anonymous(running.anonymous as usize);
+        self.cache.free_anonymous(running.anonymous as usize);
     }
 }
 
-/// A count that fits 32 bits.
-fn count(len: usize) -> u32 {
+/// Converts a length to `u32`, saturating.
+fn saturating_u32(len: usize) -> u32 {
     u32::try_from(len).unwrap_or(u32::MAX)
 }
--- a/crates/quay_standin/src/model/load.rs
+++ b/crates/quay_standin/src/model/load.rs
@@ -1,4 +1,4 @@
-//! Load reports that come late.
+//! Load reports that are published with a delay.
 
 use {
     super::ModelSettings,
@@ -6,53 +6,53 @@
     std::{collections::VecDeque, time::Duration},
 };
 
-/// Load of an engine as it was at `at`.
+/// Load of an engine at the time `at`.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LoadReport {
-    /// When the load was so.
+    /// Time of the sample.
     pub at: Time,
-    /// Jobs in the batch.
+    /// Number of jobs in the batch.
     pub running: u32,
-    /// Jobs that wait for a place in the batch.
+    /// Number of jobs waiting for a place in the batch.
     pub waiting: u32,
-    /// KV memory that running jobs use, in thousandths.
+    /// Share of the KV memory that running jobs use, in thousandths.
     pub kv_permille: u16,
     /// Mean duration of recent steps in microseconds.
     pub token_gap_us: u32,
 }
 
-/// Reports that are on their way.
+/// Load reports, sampled at a fixed interval and published after a lag.
 #[derive(Debug)]
 pub(super) struct LoadReports {
-    every: Duration,
+    interval: Duration,
     lag: Duration,
-    due: Time,
+    next_sample: Time,
     reports: VecDeque<LoadReport>,
 }
 
 impl LoadReports {
     pub(super) fn new(settings: &ModelSettings) -> Self {
         Self {
-            every: settings.load_every.max(Duration::from_millis(1)),
+            interval: settings.load_interval.max(Duration::from_millis(1)),
             lag: settings.load_lag,
-            due: Time::ZERO,
+            next_sample: Time::ZERO,
             reports: VecDeque::new(),
         }
     }
 
-    /// Takes a sample if one is due.
+    /// Samples the load if the next sample is due.
     pub(super) fn sample(&mut self, now: Time, sample: impl FnOnce() -> LoadReport) {
-        if now < self.due {
+        if now < self.next_sample {
             return;
         }
-        self.due = now + self.every;
+        self.next_sample = now + self.interval;
         self.reports.push_back(LoadReport {
             at: now,
             ..sample()
         });
     }
 
-    /// The newest report that is old enough to be known.
+    /// Latest published report: the newest that is at least as old as the lag.
     pub(super) fn newest(&mut self, now: Time) -> Option<LoadReport> {
         while self
             .reports
--- a/crates/quay_standin/src/model/mod.rs
+++ b/crates/quay_standin/src/model/mod.rs
@@ -1,8 +1,8 @@
-//! A small model of an engine as plain deterministic code.
+//! Deterministic simulation of a model engine.
 //!
-//! Nothing here reads a clock or does I/O: the caller passes the time in and
-//! takes events out, so that a stand-in over HTTP and the experiments meet the
-//! same engine.
+//! The simulation reads no clock and does no I/O: the caller passes the time in
+//! and takes events out. The HTTP engine and the experiments therefore share the
+//! same engine model.
 
 mod cache;
 mod engine;
--- a/crates/quay_standin/src/model/order.rs
+++ b/crates/quay_standin/src/model/order.rs
@@ -1,4 +1,4 @@
-//! Orders to an engine under rising fence numbers.
+//! Orders to an engine, with fence numbers to reject stale ones.
 
 use {
     indexmap::IndexMap,
@@ -6,78 +6,79 @@
     std::time::Duration,
 };
 
-/// Which part of the work an engine does.
+/// Phases of inference that an engine runs.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum EngineRole {
     /// Prefill and decode.
     #[default]
     Whole,
-    /// Prefill for others.
+    /// Prefill, for other engines to decode.
     Prefill,
-    /// Decode what others prefilled.
+    /// Decode prompts that other engines have prefilled.
     Decode,
 }
 
-/// What an order asks for.
+/// Action of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderAction {
-    /// Serve a model or adapter once its weights are there.
+    /// Load a model or adapter; it can serve after the given duration.
     Load(ModelId, Duration),
-    /// Serve a model or adapter no more.
+    /// Unload a model or adapter.
     Unload(ModelId),
-    /// Take a role.
+    /// Change the role.
     Role(EngineRole),
 }
 
-/// An order and its fence number.
+/// An order with its fence number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Order {
-    /// Must not fall.
+    /// Fence number; an engine that checks it refuses an order with a lower
+    /// number than an earlier one.
     pub fence: FenceNumber,
-    /// What to do.
+    /// Action to carry out.
     pub action: OrderAction,
 }
 
-/// Why an order was refused.
+/// Reason for the refusal of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderError {
-    /// A later order was carried out; its fence number.
+    /// An order with this higher fence number has already been applied.
     StaleFence(FenceNumber),
 }
 
-/// What the orders so far amount to.
+/// State that results from the orders applied so far.
 #[derive(Debug, Default)]
 pub(super) struct Orders {
-    check: bool,
+    check_fence: bool,
     fence: FenceNumber,
     role: EngineRole,
-    /// Models and when each can serve.
+    /// Loaded models, with the time from which each can serve.
     models: IndexMap<ModelId, Time>,
 }
 
 impl Orders {
-    pub(super) fn new(check: bool) -> Self {
+    pub(super) fn new(check_fence: bool) -> Self {
         Self {
-            check,
+            check_fence,
             ..Self::default()
         }
     }
 
-    /// Carries an order out, unless its fence number is old and that is checked.
-    pub(super) fn carry_out(&mut self, now: Time, order: Order) -> Result<(), OrderError> {
-        if self.check && order.fence < self.fence {
+    /// Applies an order; refuses a stale fence number if checks are enabled.
+    pub(super) fn apply(&mut self, now: Time, order: Order) -> Result<(), OrderError> {
+        if self.check_fence && order.fence < self.fence {
             return Err(OrderError::StaleFence(self.fence));
         }
         self.fence = self.fence.max(order.fence);
         match order.action {
-            OrderAction::Load(model, span) => drop(self.models.insert(model, now + span)),
+            OrderAction::Load(model, load_time) => drop(self.models.insert(model, now + load_time)),
             OrderAction::Unload(model) => drop(self.models.shift_remove(&model)),
             OrderAction::Role(role) => self.role = role,
         }
         Ok(())
     }
 
-    /// Models that can serve now.
+    /// Models that can serve at `now`.
     pub(super) fn serving(&self, now: Time) -> impl Iterator<Item = ModelId> {
         let ready = self.models.iter().filter(move |(_, ready)| **ready <= now);
         ready.map(|(model, _)| *model)
--- a/crates/quay_standin/src/model/settings.rs
+++ b/crates/quay_standin/src/model/settings.rs
@@ -1,39 +1,39 @@
-//! Costs and sizes of a modelled engine.
+//! Settings of the engine model.
 
 use std::time::Duration;
 
-/// Costs and sizes of a modelled engine.
+/// Step costs, sizes and publication delays of an engine model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ModelSettings {
-    /// KV memory in blocks.
+    /// Capacity of the KV memory in blocks.
     pub kv_blocks: u32,
-    /// Tokens in a block.
+    /// Number of tokens per block.
     pub block_tokens: u32,
-    /// Most jobs in the batch.
+    /// Maximum number of jobs in the batch.
     pub max_batch: u32,
-    /// Time of a step with an empty batch.
+    /// Base duration of a step.
     pub step_base: Duration,
-    /// Time that each generating job adds to a step.
+    /// Time that each decoding job adds to a step.
     pub step_per_job: Duration,
-    /// Time that each block of context read by the step adds.
+    /// Time that each context block of the batch's jobs adds to a step.
     pub step_per_block: Duration,
     /// Time to prefill one prompt token.
     pub prefill_per_token: Duration,
-    /// Most prompt tokens that one step prefills.
+    /// Maximum number of prompt tokens prefilled per step.
     pub prefill_chunk: u32,
-    /// Time to import one block.
+    /// Time that each imported block adds to the next step.
     pub import_per_block: Duration,
-    /// Age at which a cache event is published.
+    /// Delay after which a cache event is published.
     pub event_lag: Duration,
-    /// Share of cache events that are never published, in thousandths.
+    /// Share of cache events that are lost, in thousandths.
     pub event_loss_permille: u16,
-    /// Interval between two load reports.
-    pub load_every: Duration,
-    /// Age at which a load report is published.
+    /// Interval between load reports.
+    pub load_interval: Duration,
+    /// Delay after which a load report is published.
     pub load_lag: Duration,
-    /// Whether orders under an old fence number are refused.
+    /// Whether orders with a stale fence number are refused.
     pub check_fence: bool,
-    /// Chooses which cache events are lost.
+    /// Seed of the pseudo-random choice of lost cache events.
     pub seed: u64,
 }
 
@@ -51,7 +51,7 @@
             import_per_block: Duration::from_micros(100),
             event_lag: Duration::from_millis(250),
             event_loss_permille: 0,
-            load_every: Duration::from_millis(500),
+            load_interval: Duration::from_millis(500),
             load_lag: Duration::from_millis(250),
             check_fence: true,
             seed: 0,
--- a/crates/quay_standin/src/model/weights.rs
+++ b/crates/quay_standin/src/model/weights.rs
@@ -1,8 +1,8 @@
-//! A weight store that sends at a limited rate.
+//! Model of a weight store with a limited transfer rate.
 
 use {quay_types::Time, std::time::Duration};
 
-/// A weight store that serves one fetch after the other at a fixed rate.
+/// Weight store that serves fetches sequentially at a fixed rate.
 #[derive(Debug, Clone, Copy)]
 pub struct WeightStore {
     bytes_per_second: u64,
@@ -10,7 +10,7 @@
 }
 
 impl WeightStore {
-    /// A store that sends `bytes_per_second`.
+    /// Creates a store with a transfer rate of `bytes_per_second`.
     #[must_use]
     pub const fn new(bytes_per_second: u64) -> Self {
         Self {
@@ -19,7 +19,8 @@
         }
     }
 
-    /// Queues a fetch; returns how long it takes from now.
+    /// Queues a fetch. Returns the time from `now` until it completes, including
+    /// the wait for earlier fetches.
     pub fn fetch(&mut self, now: Time, bytes: u64) -> Duration {
         let micros = bytes.saturating_mul(1_000_000) / self.bytes_per_second.max(1);
         self.free_at = self.free_at.max(now) + Duration::from_micros(micros);
--- a/crates/quay_standin/src/service.rs
+++ b/crates/quay_standin/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service that counts how often it ran each request.
+//! Simulated service that counts how often each request was executed.
 
 use {
     crate::listen::bind,
@@ -15,22 +15,23 @@
     tiny_http::{Method, Request, Response, Server},
 };
 
-/// Exit code of a service that crashed on purpose.
-const CRASHED: i32 = 70;
+/// Exit code of a simulated crash.
+const CRASH_EXIT_CODE: i32 = 70;
 
-/// How a stand-in service behaves.
+/// Behaviour of a simulated service.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ServiceSettings {
-    /// Time from a request to its answer.
+    /// Time from a request to its response.
     pub delay: Duration,
-    /// Whether a request that it has run before is answered without a second run.
+    /// Whether a repeated request is answered without being executed again.
     pub idempotent: bool,
 }
 
-/// Runs of each request by its key: the field `key` of a JSON body, or the body.
+/// Executions of each request by its key: the field `key` of a JSON body, or the
+/// body itself.
 type Runs = IndexMap<Box<str>, u64>;
 
-/// A running stand-in service.
+/// A running simulated service.
 #[derive(Debug)]
 pub struct Service {
     addr: SocketAddr,
@@ -42,38 +43,39 @@
     ///
     /// # Errors
     ///
-    /// Fails if the address is taken.
+    /// Fails if the socket or the thread cannot be created, for instance because
+    /// the address is in use.
     pub fn start(listen: SocketAddr, settings: ServiceSettings) -> io::Result<Self> {
         let listener = bind(listen)?;
         let addr = listener.local_addr()?;
         let server = Server::from_listener(listener, None).map_err(io::Error::other)?;
         let runs = Arc::<Mutex<Runs>>::default();
-        let counted = Arc::clone(&runs);
+        let counters = Arc::clone(&runs);
         thread::Builder::new()
             .name("service".into())
-            .spawn(move || accept(&server, &settings, &counted))?;
+            .spawn(move || accept(&server, &settings, &counters))?;
         Ok(Self { addr, runs })
     }
 
-    /// Address that the service listens on.
+    /// Address on which the service listens.
     #[must_use]
     pub const fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// How often a request ran.
+    /// Number of executions of the request with this key.
     #[must_use]
     pub fn runs(&self, key: &str) -> u64 {
         lock(&self.runs).get(key).copied().unwrap_or_default()
     }
 }
 
-/// Locks the counts.
+/// Locks the execution counts.
 fn lock(runs: &Mutex<Runs>) -> MutexGuard<'_, Runs> {
     runs.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Gives each request a thread of its own.
+/// Serves each request on its own thread.
 fn accept(server: &Server, settings: &ServiceSettings, runs: &Arc<Mutex<Runs>>) {
     while let Ok(req) = server.recv() {
         let (settings, runs) = (settings.clone(), Arc::clone(runs));
@@ -92,27 +94,28 @@
             let counts = json!(*lock(runs));
             req.respond(Response::from_string(counts.to_string()))
         }
-        (Method::Post, "/stand-in/crash") => process::exit(CRASHED),
+        (Method::Post, "/stand-in/crash") => process::exit(CRASH_EXIT_CODE),
         (Method::Post, _) => {
             let mut body = String::new();
             req.as_reader().read_to_string(&mut body)?;
-            let run = run(settings, runs, &key_of(&body));
+            let run = record_run(settings, runs, &request_key(&body));
             thread::sleep(settings.delay);
-            let answer = json!({"ran": run, "request": body});
-            req.respond(Response::from_string(answer.to_string()))
+            let reply = json!({"ran": run, "request": body});
+            req.respond(Response::from_string(reply.to_string()))
         }
         _ => req.respond(Response::from_string("ok")),
     }
 }
 
-/// The key of a request.
-fn key_of(body: &str) -> Box<str> {
+/// Key of a request with this body.
+fn request_key(body: &str) -> Box<str> {
     let parsed: serde_json::Value = serde_json::from_str(body).unwrap_or_default();
     parsed["key"].as_str().unwrap_or(body).into()
 }
 
-/// Counts a run; how often the request has run.
-fn run(settings: &ServiceSettings, runs: &Mutex<Runs>, key: &str) -> u64 {
+/// Counts an execution unless a repeated request is idempotent. Returns the
+/// number of executions so far.
+fn record_run(settings: &ServiceSettings, runs: &Mutex<Runs>, key: &str) -> u64 {
     let mut runs = lock(runs);
     let count = runs.entry(key.into()).or_default();
     if !settings.idempotent || *count == 0 {
--- a/crates/quay_standin/src/weights.rs
+++ b/crates/quay_standin/src/weights.rs
@@ -1,4 +1,4 @@
-//! A weight store behind HTTP that sends at a limited rate.
+//! Simulated weight store with a limited transfer rate, served over HTTP.
 
 use {
     crate::{listen::bind, model::WeightStore},
@@ -14,19 +14,20 @@
     tiny_http::{Request, Response, Server},
 };
 
-/// A running stand-in weight store: `GET /weights/NAME?bytes=N` is answered
-/// once so many bytes have been sent at the rate of the store.
+/// A running simulated weight store. `GET /weights/NAME?bytes=N` is answered
+/// after the time that `N` bytes take at the store's transfer rate.
 #[derive(Debug)]
 pub struct WeightServer {
     addr: SocketAddr,
 }
 
 impl WeightServer {
-    /// Starts a store on `listen` that sends `bytes_per_second`.
+    /// Starts a store on `listen` with a transfer rate of `bytes_per_second`.
     ///
     /// # Errors
     ///
-    /// Fails if the address is taken.
+    /// Fails if the socket or the thread cannot be created, for instance because
+    /// the address is in use.
     pub fn start(listen: SocketAddr, bytes_per_second: u64) -> io::Result<Self> {
         let listener = bind(listen)?;
         let addr = listener.local_addr()?;
@@ -37,14 +38,14 @@
         Ok(Self { addr })
     }
 
-    /// Address that the store listens on.
+    /// Address on which the store listens.
     #[must_use]
     pub const fn addr(&self) -> SocketAddr {
         self.addr
     }
 }
 
-/// Gives each request a thread of its own.
+/// Serves each request on its own thread.
 fn accept(server: &Server, store: WeightStore) {
     let (origin, store) = (Instant::now(), Arc::new(Mutex::new(store)));
     while let Ok(req) = server.recv() {
@@ -57,23 +58,23 @@
     }
 }
 
-/// Answers once the bytes would have been sent.
+/// Responds after the simulated transfer time.
 fn serve(store: &Mutex<WeightStore>, origin: Instant, req: Request) -> io::Result<()> {
-    let Some(bytes) = bytes_of(req.url()) else {
+    let Some(bytes) = requested_bytes(req.url()) else {
         return req.respond(Response::empty(400));
     };
     let now = Time::ZERO + origin.elapsed();
-    let takes = store
+    let duration = store
         .lock()
         .unwrap_or_else(PoisonError::into_inner)
         .fetch(now, bytes);
-    thread::sleep(takes);
-    let answer = json!({"bytes": bytes, "ms": takes.as_millis()});
-    req.respond(Response::from_string(answer.to_string()))
+    thread::sleep(duration);
+    let reply = json!({"bytes": bytes, "ms": duration.as_millis()});
+    req.respond(Response::from_string(reply.to_string()))
 }
 
-/// The number of bytes that a URL asks for.
-fn bytes_of(url: &str) -> Option<u64> {
+/// Number of bytes that a URL requests; `None` if the URL is invalid.
+fn requested_bytes(url: &str) -> Option<u64> {
     let (path, query) = url.split_once('?')?;
     let bytes = query.strip_prefix("bytes=")?;
     path.starts_with("/weights/").then(|| bytes.parse().ok())?
--- a/crates/quay_standin/tests/shells.rs
+++ b/crates/quay_standin/tests/http.rs
@@ -1,4 +1,4 @@
-//! Stand-ins over HTTP.
+//! Tests of the simulated servers over HTTP.
 
 use {
     quay_standin::{
@@ -12,17 +12,18 @@
     },
 };
 
-const ANY: SocketAddr = SocketAddr::V4(std::net::SocketAddrV4::new(
+/// Loopback address with a port chosen by the operating system.
+const ANY_PORT: SocketAddr = SocketAddr::V4(std::net::SocketAddrV4::new(
     std::net::Ipv4Addr::LOCALHOST,
     0,
 ));
 
-fn modelled() -> Engine {
+fn start_engine_with_model() -> Engine {
     let settings = EngineSettings {
         model: Some(ModelSettings::default()),
         ..EngineSettings::default()
     };
-    Engine::start(ANY, settings).expect("engine")
+    Engine::start(ANY_PORT, settings).expect("engine")
 }
 
 fn complete(engine: &Engine, stream: &str, content: &str) -> String {
@@ -30,13 +31,13 @@
     ureq::post(&format!("http://{}/v1/chat/completions", engine.addr()))
         .set("sapphirequay-stream", stream)
         .send_string(&body.to_string())
-        .expect("answer")
+        .expect("response")
         .into_string()
         .expect("text")
 }
 
-/// The numbers of the events that carry text.
-fn positions(text: &str) -> Vec<u64> {
+/// IDs of the events that contain text.
+fn token_event_ids(text: &str) -> Vec<u64> {
     let with_text = text.split("\n\n").filter(|event| event.contains("word"));
     with_text
         .filter_map(|event| event.lines().find_map(|line| line.strip_prefix("id: ")))
@@ -44,7 +45,8 @@
         .collect()
 }
 
-fn cached(text: &str) -> u64 {
+/// Number of cached prompt tokens in the usage of a streamed response.
+fn cached_tokens(text: &str) -> u64 {
     let data = text.lines().filter_map(|line| line.strip_prefix("data: "));
     let events = data.filter_map(|data| serde_json::from_str::<Value>(data).ok());
     let mut usage = events
@@ -54,32 +56,32 @@
 
 #[test]
 fn a_stream_is_resumed_after_any_token() {
-    let engine = modelled();
+    let engine = start_engine_with_model();
     assert_eq!(
-        positions(&complete(&engine, "s", "hi")),
+        token_event_ids(&complete(&engine, "s", "hi")),
         (1..=8).collect::<Vec<_>>()
     );
     let resumed = ureq::get(&format!("http://{}/v1/streams/s", engine.addr()))
         .set("last-event-id", "5")
         .call();
-    let text = resumed.expect("answer").into_string().expect("text");
-    assert_eq!(positions(&text), [6, 7, 8]);
+    let text = resumed.expect("response").into_string().expect("text");
+    assert_eq!(token_event_ids(&text), [6, 7, 8]);
     assert!(text.contains("[DONE]"));
     let unknown = ureq::get(&format!("http://{}/v1/streams/t", engine.addr())).call();
     assert!(matches!(unknown, Err(ureq::Error::Status(404, _))));
 }
 
 #[test]
-fn a_second_prompt_finds_its_prefix_in_the_cache() {
-    let engine = modelled();
+fn a_repeated_prompt_is_found_in_the_prefix_cache() {
+    let engine = start_engine_with_model();
     let prompt = "shelf ".repeat(400);
-    assert_eq!(cached(&complete(&engine, "a", &prompt)), 0);
-    assert!(cached(&complete(&engine, "b", &prompt)) > 500);
+    assert_eq!(cached_tokens(&complete(&engine, "a", &prompt)), 0);
+    assert!(cached_tokens(&complete(&engine, "b", &prompt)) > 500);
 }
 
 #[test]
-fn an_order_with_an_old_fence_number_is_refused() {
-    let engine = modelled();
+fn an_order_with_a_stale_fence_number_is_refused() {
+    let engine = start_engine_with_model();
     let order = |fence: u64| {
         let body = json!({"fence": fence, "action": "role", "role": "prefill"});
         let sent = ureq::post(&format!("http://{}/v1/orders", engine.addr()))
@@ -93,19 +95,19 @@
 }
 
 #[test]
-fn a_cancelled_answer_ends() {
+fn a_cancelled_stream_ends_early() {
     let settings = EngineSettings {
         token_gap: Duration::from_millis(50),
         answer_tokens: 10_000,
         ..EngineSettings::default()
     };
-    let engine = Engine::start(ANY, settings).expect("engine");
+    let engine = Engine::start(ANY_PORT, settings).expect("engine");
     let addr = engine.addr();
     let caller = thread::spawn(move || {
         ureq::post(&format!("http://{addr}/v1/chat/completions"))
             .set("sapphirequay-stream", "s")
             .send_string("{}")
-            .expect("answer")
+            .expect("response")
             .into_string()
             .expect("text")
     });
@@ -113,32 +115,32 @@
         thread::sleep(Duration::from_millis(10));
     }
     let cancelled = ureq::delete(&format!("http://{addr}/v1/streams/s")).call();
-    assert_eq!(cancelled.expect("answer").status(), 204);
+    assert_eq!(cancelled.expect("response").status(), 204);
     assert!(!caller.join().expect("caller").contains("[DONE]"));
     assert_eq!(engine.counts().cancelled, 1);
 }
 
 #[test]
-fn a_service_counts_what_it_runs() {
+fn a_service_counts_executions_per_request() {
     for (idempotent, runs) in [(false, 2), (true, 1)] {
         let settings = ServiceSettings {
             idempotent,
             ..ServiceSettings::default()
         };
-        let service = Service::start(ANY, settings).expect("service");
+        let service = Service::start(ANY_PORT, settings).expect("service");
         for _ in 0..2 {
             let sent = ureq::post(&format!("http://{}/", service.addr()));
-            sent.send_string(r#"{"key":"order-1"}"#).expect("answer");
+            sent.send_string(r#"{"key":"order-1"}"#).expect("response");
         }
         assert_eq!(service.runs("order-1"), runs);
     }
 }
 
 #[test]
-fn a_weight_store_keeps_to_its_rate() {
-    let weights = WeightServer::start(ANY, 1_000_000).expect("store");
+fn a_weight_store_limits_its_transfer_rate() {
+    let weights = WeightServer::start(ANY_PORT, 1_000_000).expect("store");
     let started = Instant::now();
     let url = format!("http://{}/weights/m?bytes=200000", weights.addr());
-    ureq::get(&url).call().expect("answer");
+    ureq::get(&url).call().expect("response");
     assert!(started.elapsed() >= Duration::from_millis(200));
 }
--- a/crates/quay_standin/tests/model.rs
+++ b/crates/quay_standin/tests/model.rs
@@ -10,7 +10,7 @@
     std::time::Duration,
 };
 
-/// A job whose first `shared` blocks are those of every job.
+/// A job whose first `shared` blocks are the same in all jobs.
 fn job(id: u64, shared: u64, prompt: u32, output: u32) -> Job {
     let blocks = (0..u64::from((prompt + output) / 64))
         .map(|depth| {
@@ -31,8 +31,8 @@
     }
 }
 
-/// Runs until nothing is to do; returns all events.
-fn run(engine: &mut EngineModel) -> Vec<JobEvent> {
+/// Runs the engine until it is idle. Returns all events.
+fn run_until_idle(engine: &mut EngineModel) -> Vec<JobEvent> {
     while let Some(next) = engine.next_at() {
         engine.advance(next);
     }
@@ -60,7 +60,7 @@
         for id in 0..jobs {
             assert!(engine.submit(Time::ZERO, job(id, 0, 64, 200)));
         }
-        done_at(&run(&mut engine), 0).expect("done")
+        done_at(&run_until_idle(&mut engine), 0).expect("done")
     };
     assert!(time(1) < time(8));
     assert!(time(8) < time(32));
@@ -70,39 +70,40 @@
 fn a_prefix_is_prefilled_once_and_released() {
     let mut engine = EngineModel::new(ModelSettings::default());
     engine.submit(Time::ZERO, job(1, 4, 640, 10));
-    let events = run(&mut engine);
+    let events = run_until_idle(&mut engine);
     assert_eq!(cached(&events, 1), Some(0));
-    let later = done_at(&events, 1).expect("done");
+    let done = done_at(&events, 1).expect("done");
     assert_eq!(engine.idle_blocks(), 6);
-    engine.submit(later, job(2, 4, 640, 10));
-    assert_eq!(cached(&run(&mut engine), 2), Some(256));
-    engine.release(later, &job(1, 4, 640, 10).blocks);
-    engine.submit(later, job(3, 4, 640, 10));
-    assert_eq!(cached(&run(&mut engine), 3), Some(0));
+    engine.submit(done, job(2, 4, 640, 10));
+    assert_eq!(cached(&run_until_idle(&mut engine), 2), Some(256));
+    engine.release(done, &job(1, 4, 640, 10).blocks);
+    engine.submit(done, job(3, 4, 640, 10));
+    assert_eq!(cached(&run_until_idle(&mut engine), 3), Some(0));
 }
 
 #[test]
-fn exported_blocks_spare_the_prefill_elsewhere() {
-    let mut from = EngineModel::new(ModelSettings::default());
-    let mut to = EngineModel::new(ModelSettings::default());
+fn imported_blocks_are_not_prefilled_again() {
+    let mut source = EngineModel::new(ModelSettings::default());
+    let mut destination = EngineModel::new(ModelSettings::default());
     let first = job(1, 0, 640, 10);
-    from.submit(Time::ZERO, first.clone());
-    run(&mut from);
-    let export = from.export(&first.blocks);
-    assert_eq!(to.import(Time::ZERO, &export, 0), 10);
-    to.submit(Time::ZERO, first);
-    // The last token of a prompt is always read, so its block is not spared.
-    assert_eq!(cached(&run(&mut to), 1), Some(576));
+    source.submit(Time::ZERO, first.clone());
+    run_until_idle(&mut source);
+    let export = source.export(&first.blocks);
+    assert_eq!(destination.import(Time::ZERO, &export, 0), 10);
+    destination.submit(Time::ZERO, first);
+    // The last token of a prompt is always computed, so its block does not
+    // count as cached.
+    assert_eq!(cached(&run_until_idle(&mut destination), 1), Some(576));
 }
 
 #[test]
-fn lost_events_leave_a_gap_and_a_snapshot_closes_it() {
+fn lost_events_leave_a_gap_that_a_snapshot_closes() {
     let mut engine = EngineModel::new(ModelSettings {
         event_loss_permille: 300,
         ..ModelSettings::default()
     });
     engine.submit(Time::ZERO, job(1, 0, 6_400, 10));
-    run(&mut engine);
+    run_until_idle(&mut engine);
     let events = engine.cache_events(Time::from_millis(60_000));
     let snapshot = engine.cache_snapshot();
     assert_eq!(snapshot.sequence, 100);
@@ -116,7 +117,7 @@
 }
 
 #[test]
-fn events_and_load_come_late() {
+fn events_and_load_are_published_with_a_delay() {
     let mut engine = EngineModel::new(ModelSettings::default());
     engine.submit(Time::ZERO, job(1, 0, 64, 1));
     engine.advance(Time::from_millis(100));
@@ -128,7 +129,7 @@
 }
 
 #[test]
-fn poison_ends_every_job_and_the_cache() {
+fn a_poison_job_ends_all_jobs_and_clears_the_cache() {
     let mut engine = EngineModel::new(ModelSettings::default());
     engine.submit(Time::ZERO, job(1, 0, 64, 100));
     let poison = Job {
@@ -136,7 +137,7 @@
         ..job(2, 0, 64, 100)
     };
     engine.submit(Time::from_millis(100), poison);
-    let events = run(&mut engine);
+    let events = run_until_idle(&mut engine);
     let crashed = |event: &&JobEvent| matches!(event, JobEvent::Crashed { .. });
     assert_eq!(events.iter().filter(crashed).count(), 2);
     assert!(engine.is_down());
@@ -145,7 +146,7 @@
 }
 
 #[test]
-fn only_a_checking_engine_refuses_an_old_fence() {
+fn a_stale_fence_is_refused_only_if_the_check_is_enabled() {
     let order = |fence| Order {
         fence: FenceNumber(fence),
         action: OrderAction::Load(ModelId(fence), Duration::from_secs(1)),
@@ -167,7 +168,7 @@
 }
 
 #[test]
-fn the_weight_store_sends_one_after_the_other() {
+fn the_weight_store_serves_fetches_sequentially() {
     let mut store = WeightStore::new(100);
     assert_eq!(store.fetch(Time::ZERO, 100), Duration::from_secs(1));
     assert_eq!(store.fetch(Time::ZERO, 100), Duration::from_secs(2));
@@ -176,9 +177,10 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(48))]
 
-    /// However small the memory, each job gets each of its tokens once, in order.
+    /// Checks that preemption under memory pressure neither loses nor repeats
+    /// tokens: each job gets each of its tokens once, in order.
     #[test]
-    fn every_job_gets_its_tokens(
+    fn every_job_gets_each_token_once(
         kv_blocks in 24_u32..64,
         jobs in prop::collection::vec((1_u32..900, 1_u32..300, 0_u64..4, 0_u64..2_000), 1..24),
         cancelled in 0_u64..24,
@@ -190,7 +192,7 @@
             prop_assert!(engine.submit(now, job(id, *shared, *prompt, *output)));
         }
         engine.cancel(now, JobId(cancelled));
-        let events = run(&mut engine);
+        let events = run_until_idle(&mut engine);
         prop_assert_eq!(engine.jobs(), 0);
         prop_assert!(engine.cache_snapshot().blocks.len() <= kv_blocks as usize);
         for ((_, output, ..), id) in jobs.iter().zip(0..) {
@@ -199,11 +201,11 @@
                 _ => None,
             };
             let tokens: Vec<u32> = events.iter().filter_map(token).collect();
-            let whole: Vec<u32> = (0..*output).collect();
+            let expected: Vec<u32> = (0..*output).collect();
             if id == cancelled {
-                prop_assert!(whole.starts_with(&tokens));
+                prop_assert!(expected.starts_with(&tokens));
             } else {
-                prop_assert_eq!(tokens, whole);
+                prop_assert_eq!(tokens, expected);
                 prop_assert!(done_at(&events, id).is_some());
             }
         }
