--- a/crates/sapphirequayd/src/connection/engine.rs
+++ b/crates/sapphirequayd/src/connection/engine.rs
@@ -1,9 +1,9 @@
 //! Client of a model engine's HTTP interface.
 //!
-//! The request carries a stream id of the sidecar's choice in
-//! `Sapphirequay-Stream`. Events carry the number of tokens so far as their
-//! `id:`. `GET /v1/streams/ID` with `Last-Event-ID` goes on after that token on
-//! a fresh connection; `DELETE /v1/streams/ID` cancels.
+//! A request carries a stream id, chosen by the sidecar, in the header
+//! `Sapphirequay-Stream`. The `id:` of an event is the number of tokens generated
+//! so far. `GET /v1/streams/ID` with `Last-Event-ID` resumes the stream after
+//! that token on a new connection; `DELETE /v1/streams/ID` cancels the stream.
 
 use {
     crate::request::{UpstreamEvent, Usage},
@@ -17,30 +17,31 @@
     },
 };
 
-/// Limit of setting up a connection to the upstream on the same host.
+/// Connect time-out; the upstream is on the same host.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A connection on which nothing arrives for so long is left for a fresh one.
+/// Read and write time-out, after which a connection is replaced by a new one.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Longest time that a cancellation takes.
+/// Time-out of a request to cancel a stream or to release blocks.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Bytes of an error's text that are passed on.
+/// Maximum number of bytes of an upstream's error body that are forwarded.
 const MAX_ERROR_BYTES: u64 = 500;
 
-/// Statuses from here on speak against the upstream, those below against the request.
-const FIRST_FAULT_STATUS: u16 = 500;
+/// Lowest HTTP status that counts as a fault of the upstream; lower error
+/// statuses are a fault of the request.
+const MIN_FAULT_STATUS: u16 = 500;
 
-/// Event after which nothing follows.
+/// Data of the last event of a stream.
 const DONE: &str = "[DONE]";
 
-/// Identity of one answer at the upstream, across connections.
+/// Id of a response stream at the upstream, valid across connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StreamId {
-    /// Run of the sidecar.
+    /// Incarnation of the sidecar process.
     pub incarnation: u64,
-    /// Number of the attempt in that run.
+    /// Number of the attempt within the incarnation.
     pub attempt: u64,
 }
 
@@ -50,7 +51,7 @@
     }
 }
 
-/// Calls one engine.
+/// HTTP client of one model engine.
 #[derive(Debug, Clone)]
 pub struct EngineClient {
     agent: ureq::Agent,
@@ -62,10 +63,10 @@
 struct Chunk {
     #[serde(default)]
     choices: Vec<Choice>,
-    usage: Option<Counts>,
+    usage: Option<TokenCounts>,
 }
 
-/// The only choice of a chunk.
+/// Completion choice of a chunk; requests ask for a single choice.
 #[derive(Debug, Deserialize)]
 struct Choice {
     #[serde(default)]
@@ -73,34 +74,34 @@
     finish_reason: Option<Box<str>>,
 }
 
-/// New text.
+/// Text added by a chunk.
 #[derive(Debug, Default, Deserialize)]
 struct Delta {
     content: Option<Box<str>>,
 }
 
-/// Tokens that the engine counted.
+/// Token counts reported by the engine.
 #[derive(Debug, Deserialize)]
-struct Counts {
+struct TokenCounts {
     prompt_tokens: u64,
     completion_tokens: u64,
     #[serde(default)]
-    prompt_tokens_details: Details,
+    prompt_tokens_details: PromptTokenDetails,
 }
 
-/// Part of the prompt that was cached.
+/// Details of the prompt's token count.
 #[derive(Debug, Default, Deserialize)]
-struct Details {
+struct PromptTokenDetails {
     #[serde(default)]
     cached_tokens: u64,
 }
 
 impl EngineClient {
-    /// A client of the engine at `addr`.
+    /// Creates a client of the engine at `addr`.
     #[must_use]
     pub fn new(addr: SocketAddr) -> Self {
-        // No pool: a pooled connection may be dead, and its failure would leave
-        // open whether the request ran.
+        // Connections are not pooled: a pooled connection may already be
+        // closed, and its failure would not tell whether the request ran.
         let agent = ureq::AgentBuilder::new()
             .timeout_connect(CONNECT_TIMEOUT)
             .timeout_read(READ_TIMEOUT)
@@ -118,7 +119,7 @@
     ///
     /// # Errors
     ///
-    /// What the connection said instead of a stream.
+    /// Returns the event to handle if no stream was opened.
     pub fn start(&self, id: StreamId, body: &[u8]) -> Result<EngineStream, UpstreamEvent> {
         let sent = self
             .agent
@@ -129,11 +130,11 @@
         EngineStream::open(sent, 0)
     }
 
-    /// Goes on with a completion after `tokens` tokens.
+    /// Resumes a completion after its first `tokens` tokens.
     ///
     /// # Errors
     ///
-    /// What the connection said instead of a stream.
+    /// Returns the event to handle if no stream was opened.
     pub fn resume(&self, id: StreamId, tokens: u64) -> Result<EngineStream, UpstreamEvent> {
         let sent = self
             .agent
@@ -146,7 +147,7 @@
         }
     }
 
-    /// Tells the engine to stop; reports whether it has heard.
+    /// Cancels a completion. Returns `true` if the engine sent any response.
     #[must_use]
     pub fn cancel(&self, id: StreamId) -> bool {
         let sent = self
@@ -157,7 +158,7 @@
         !matches!(sent, Err(ureq::Error::Transport(_)))
     }
 
-    /// Has the engine drop blocks of its prefix cache; `false` if it did not.
+    /// Releases blocks of the engine's prefix cache; returns `false` on failure.
     #[must_use]
     pub fn release(&self, blocks: &[u64]) -> bool {
         if blocks.is_empty() {
@@ -173,8 +174,8 @@
     }
 }
 
-/// What a failed exchange says of the upstream.
-fn said(err: ureq::Error) -> UpstreamEvent {
+/// Converts a failed request into an event of the upstream.
+fn error_event(err: ureq::Error) -> UpstreamEvent {
     match err {
         ureq::Error::Status(status, response) => {
             let mut text = String::new();
@@ -182,11 +183,11 @@
             let _ = BufReader::new(body).read_to_string(&mut text);
             let error = Error::new(
                 ErrorKind::UpstreamError,
-                format!("the upstream answered {status}: {text}"),
+                format!("the upstream responded with status {status}: {text}"),
             );
             UpstreamEvent::Rejected {
                 error,
-                fault: status >= FIRST_FAULT_STATUS,
+                fault: status >= MIN_FAULT_STATUS,
             }
         }
         ureq::Error::Transport(err) => match err.kind() {
@@ -197,7 +198,7 @@
     }
 }
 
-/// Whether a read timed out, wherever in the chain of causes it is.
+/// Whether an error was caused by a read time-out, at any level of its causes.
 fn timed_out(err: &ureq::Transport) -> bool {
     let mut cause = std::error::Error::source(err);
     while let Some(err) = cause {
@@ -209,7 +210,7 @@
     false
 }
 
-/// Whether a read took too long.
+/// Whether an I/O error is a time-out.
 fn is_timeout(err: &io::Error) -> bool {
     matches!(
         err.kind(),
@@ -220,23 +221,23 @@
 // ----------------------------------------------------------------------------
 // Events
 
-/// One connection on which an answer comes.
+/// Response stream on one connection.
 pub struct EngineStream {
     lines: BufReader<Box<dyn Read + Send + Sync>>,
-    /// Tokens up to the last event.
+    /// Number of tokens up to the last event.
     position: u64,
-    /// Number that the next event carries.
+    /// Id of the event being read, which is its number of tokens so far.
     event_id: Option<u64>,
     finish: FinishReason,
 }
 
 impl EngineStream {
-    /// The stream of an answered request.
+    /// Opens the stream of a request's response, after `position` tokens.
     fn open(
         sent: Result<ureq::Response, ureq::Error>,
         position: u64,
     ) -> Result<Self, UpstreamEvent> {
-        let response = sent.map_err(said)?;
+        let response = sent.map_err(error_event)?;
         Ok(Self {
             lines: BufReader::new(response.into_reader()),
             position,
@@ -245,7 +246,7 @@
         })
     }
 
-    /// The next thing that the engine says.
+    /// Waits for the next event of the engine.
     pub fn next(&mut self) -> UpstreamEvent {
         let mut line = String::new();
         loop {
@@ -256,14 +257,14 @@
                 Err(err) if is_timeout(&err) => return UpstreamEvent::ReadTimeout,
                 Err(_) => return UpstreamEvent::Broken,
             }
-            if let Some(input) = self.line(line.trim_end()) {
-                return input;
+            if let Some(event) = self.parse_line(line.trim_end()) {
+                return event;
             }
         }
     }
 
-    /// Takes one line; `None` for those that say nothing by themselves.
-    fn line(&mut self, line: &str) -> Option<UpstreamEvent> {
+    /// Parses one line; returns `None` if the line completes no event.
+    fn parse_line(&mut self, line: &str) -> Option<UpstreamEvent> {
         if let Some(id) = line.strip_prefix("id: ") {
             self.event_id = id.parse().ok();
             return None;
@@ -273,22 +274,25 @@
             return None;
         }
         match serde_json::from_str(data) {
-            Ok(chunk) => self.chunk(chunk),
+            Ok(chunk) => self.chunk_event(chunk),
             Err(err) => Some(UpstreamEvent::Rejected {
-                error: Error::new(ErrorKind::UpstreamError, format!("upstream event: {err}")),
+                error: Error::new(
+                    ErrorKind::UpstreamError,
+                    format!("invalid event from the upstream: {err}"),
+                ),
                 fault: true,
             }),
         }
     }
 
-    /// Takes one chunk; `None` if it carries neither text nor counts.
-    fn chunk(&mut self, chunk: Chunk) -> Option<UpstreamEvent> {
+    /// Converts a chunk; returns `None` if it has neither text nor token counts.
+    fn chunk_event(&mut self, chunk: Chunk) -> Option<UpstreamEvent> {
         if let Some(choice) = chunk.choices.into_iter().next() {
             if choice.finish_reason.as_deref() == Some("length") {
                 self.finish = FinishReason::Length;
             }
             if let Some(text) = choice.delta.content.filter(|text| !text.is_empty()) {
-                return Some(self.text(text));
+                return Some(self.text_event(text));
             }
         }
         let usage = chunk.usage?;
@@ -303,8 +307,8 @@
         })
     }
 
-    /// Numbers a text; one without a number is one token.
-    fn text(&mut self, text: Box<str>) -> UpstreamEvent {
+    /// Assigns a position to a text. A text without an event id counts as one token.
+    fn text_event(&mut self, text: Box<str>) -> UpstreamEvent {
         let position = self.event_id.take().unwrap_or(self.position + 1);
         let tokens = position.saturating_sub(self.position).max(1);
         self.position = position;
--- a/crates/sapphirequayd/src/connection/entry_server.rs
+++ b/crates/sapphirequayd/src/connection/entry_server.rs
@@ -1,12 +1,15 @@
-//! The callers' HTTP interface.
+//! HTTP server of the entry role.
 
 use {
     crate::{
         connection::{
-            body::{read_body, refuse},
+            body::{read_body, respond_with_error},
             listener,
             programs::{self, CallContent, CallHeaders, serve_programs},
-            response::{AnswerHead, BodyAnswer, EventAnswer, WholeAnswer, write_body, write_json},
+            response::{
+                EventStreamResponse, JsonResponse, ResponseInfo, ServiceResponse, write_body,
+                write_json,
+            },
             route::Route,
         },
         process::{Clock, Lifecycle, telemetry},
@@ -30,63 +33,66 @@
     tiny_http::Request,
 };
 
-/// Stack of the thread that serves one request.
+/// Stack size of a thread that serves one request.
 const REQUEST_STACK_BYTES: usize = 256 << 10;
 
-/// Receive timeouts that a whole body may take.
-const BODY_TIMEOUTS: u32 = 3;
+/// Time in which a whole body must be received, as a multiple of the receive
+/// time-out.
+const BODY_READ_TIMEOUTS: u32 = 3;
 
-/// What requests on one entry share.
+/// State shared by all requests of an entry.
 #[derive(Debug, Clone)]
 pub struct EntryContext {
-    /// What calls share.
+    /// State shared by all calls.
     pub calls: CallContext,
-    /// Rules in force.
+    /// Configuration rules in force.
     pub rules: CurrentRules,
-    /// Whether new requests are taken.
+    /// Whether new requests are accepted, and the number in progress.
     pub lifecycle: Lifecycle,
-    /// Limits of the callers' interface.
+    /// Limits and time-outs of the server.
     pub settings: EntrySettings,
 }
 
-/// The listener for callers.
+/// HTTP server for callers.
 #[derive(Debug)]
 pub struct EntryServer {
     local: SocketAddr,
 }
 
 impl EntryServer {
-    /// Starts to serve callers on the address of the settings.
+    /// Starts the server on the listen address in the settings.
     ///
     /// # Errors
     ///
-    /// Fails if the address is taken.
+    /// Fails if the address is in use or a thread can't be created.
     pub fn start(cx: EntryContext) -> io::Result<Self> {
         let listener = listener::bind(&cx.settings)?;
         let local = listener.local_addr()?;
         let read_timeout = cx.settings.read_timeout();
         thread::Builder::new()
-            .name("edge-wake".into())
-            .spawn(move || listener::keep_awake(local, read_timeout))?;
-        let numbers = Arc::new(AtomicU64::new(1));
-        thread::Builder::new().name("edge".into()).spawn(move || {
-            listener::serve_forever(&listener, read_timeout, move |req| {
-                accept(&cx, &numbers, req);
-                ControlFlow::Continue(())
-            });
-        })?;
+            .name("entry-wake".into())
+            .spawn(move || listener::prevent_accept_timeout(local, read_timeout))?;
+        let next_number = Arc::new(AtomicU64::new(1));
+        thread::Builder::new()
+            .name("entry-server".into())
+            .spawn(move || {
+                listener::serve_forever(&listener, read_timeout, move |req| {
+                    spawn_request(&cx, &next_number, req);
+                    ControlFlow::Continue(())
+                });
+            })?;
         Ok(Self { local })
     }
 
-    /// Address that callers reach.
+    /// Address that the server listens on.
     pub const fn local_addr(&self) -> SocketAddr {
         self.local
     }
 }
 
-/// Gives a request a number and a thread.
-fn accept(cx: &EntryContext, numbers: &AtomicU64, req: Request) {
-    let number = numbers.fetch_add(1, Ordering::Relaxed);
+/// Assigns a number to a request and serves it on a new thread.
+fn spawn_request(cx: &EntryContext, next_number: &AtomicU64, req: Request) {
+    let number = next_number.fetch_add(1, Ordering::Relaxed);
     let cx = cx.clone();
     let spawned = thread::Builder::new()
         .name("request".into())
@@ -97,24 +103,25 @@
     }
 }
 
-/// How a request was answered.
-type Served = io::Result<Result<()>>;
+/// Result of serving a request: the outer error means that the caller
+/// disconnected, the inner error was sent to the caller.
+type ServeResult = io::Result<Result<()>>;
 
-/// Serves one request and reports how it went.
+/// Serves one request and records the result.
 fn serve(cx: &EntryContext, number: u64, req: Request) {
     let started = Instant::now();
     let route = Route::of(req.method().as_str(), req.url());
     let name = route.as_ref().map_or("none", |route| route.name());
-    let served = match route {
+    let result = match route {
         Ok(route) => serve_route(cx, number, route, req),
-        Err(err) => refuse(req, number, &err).map(|()| Err(err)),
+        Err(err) => respond_with_error(req, number, &err).map(|()| Err(err)),
     };
-    report(number, name, started, &served);
+    record_result(number, name, started, &result);
 }
 
-/// Logs and counts a served request.
-fn report(number: u64, route: &'static str, started: Instant, served: &Served) {
-    let outcome = match served {
+/// Records the result of a request in the log and the metrics.
+fn record_result(number: u64, route: &'static str, started: Instant, result: &ServeResult) {
+    let outcome = match result {
         Ok(Ok(())) => "ok",
         Ok(Err(err)) => err.kind.name(),
         Err(_) => "caller_gone",
@@ -125,7 +132,7 @@
     metrics::histogram!("sapphirequay_request_seconds", "route" => route)
         .record(elapsed.as_secs_f64());
     let ms = elapsed.as_millis();
-    match served {
+    match result {
         Ok(Ok(())) => log::info!("event=request req={number} route={route} outcome=ok ms={ms}"),
         Ok(Err(err)) => log::info!(
             "event=request req={number} route={route} outcome={outcome} ms={ms} cause={:?}",
@@ -137,8 +144,8 @@
     }
 }
 
-/// Serves a request whose path is known.
-fn serve_route(cx: &EntryContext, number: u64, route: Route, req: Request) -> Served {
+/// Serves a request to a known route.
+fn serve_route(cx: &EntryContext, number: u64, route: Route, req: Request) -> ServeResult {
     match route {
         Route::Health => health(cx, number, req).map(Ok),
         Route::Metrics => {
@@ -159,60 +166,64 @@
     }
 }
 
-/// Says whether the process takes new requests.
+/// Serves `/healthz`: whether the process accepts new requests.
 fn health(cx: &EntryContext, number: u64, req: Request) -> io::Result<()> {
-    let (status, word) = if cx.lifecycle.draining() {
+    let (status, status_text) = if cx.lifecycle.draining() {
         (503, "draining")
     } else if cx.rules.get().config().is_none() {
         (503, "waiting for a configuration")
     } else {
         (200, "ok")
     };
-    let body = json!({"status": word, "in_progress": cx.lifecycle.in_progress()});
+    let body = json!({"status": status_text, "in_progress": cx.lifecycle.in_progress()});
     write_json(&mut req.into_writer(), status, number, "", &body)
 }
 
-/// Serves a request that runs a call, if the process takes it.
+/// Serves an authenticated request, unless the process is draining or at its
+/// limit of requests.
 fn serve_call(
     cx: &EntryContext,
     number: u64,
     mut req: Request,
-    serve: impl FnOnce(&EntryContext, u64, AccountId, &[u8], Request) -> Served,
-) -> Served {
+    serve: impl FnOnce(&EntryContext, u64, AccountId, &[u8], Request) -> ServeResult,
+) -> ServeResult {
     let Some(_progress) = cx.lifecycle.begin() else {
-        let err = Error::new(ErrorKind::Draining, "this entry is leaving; ask another");
-        return refuse(req, number, &err).map(|()| Err(err));
+        let err = Error::new(
+            ErrorKind::Draining,
+            "this entry is draining; retry on another entry",
+        );
+        return respond_with_error(req, number, &err).map(|()| Err(err));
     };
-    let admitted = room(cx).and_then(|()| admit(cx, &mut req));
+    let admitted = check_capacity(cx).and_then(|()| authenticate_and_read(cx, &mut req));
     match admitted {
         Ok((account, body)) => serve(cx, number, account, &body, req),
-        Err(err) => refuse(req, number, &err).map(|()| Err(err)),
+        Err(err) => respond_with_error(req, number, &err).map(|()| Err(err)),
     }
 }
 
-/// Whether one more request may be in progress.
-fn room(cx: &EntryContext) -> Result<()> {
-    let open = cx.lifecycle.in_progress();
-    metrics::gauge!("sapphirequay_requests_in_progress").set(f64::from(open));
-    if open > cx.settings.max_requests {
+/// Checks the limit of requests in progress.
+fn check_capacity(cx: &EntryContext) -> Result<()> {
+    let in_progress = cx.lifecycle.in_progress();
+    metrics::gauge!("sapphirequay_requests_in_progress").set(f64::from(in_progress));
+    if in_progress > cx.settings.max_requests {
         return Err(Error::new(
             ErrorKind::Overloaded,
-            format!("{open} requests are in progress here"),
+            format!("too many requests in progress on this entry: {in_progress}"),
         ));
     }
     Ok(())
 }
 
-/// Checks the key and reads the body.
-fn admit(cx: &EntryContext, req: &mut Request) -> Result<(AccountId, Vec<u8>)> {
+/// Authenticates the caller by its bearer key and reads the body.
+fn authenticate_and_read(cx: &EntryContext, req: &mut Request) -> Result<(AccountId, Vec<u8>)> {
     let key = header(req, "Authorization").and_then(|value| value.strip_prefix("Bearer "));
     let account = cx.rules.get().authenticate(key.unwrap_or_default())?;
-    let patience = cx.settings.read_timeout() * BODY_TIMEOUTS;
-    let body = read_body(req, cx.settings.max_body_bytes, patience)?;
+    let timeout = cx.settings.read_timeout() * BODY_READ_TIMEOUTS;
+    let body = read_body(req, cx.settings.max_body_bytes, timeout)?;
     Ok((account, body))
 }
 
-/// The value of a header.
+/// Returns the value of a header.
 fn header<'a>(req: &'a Request, name: &'static str) -> Option<&'a str> {
     req.headers()
         .iter()
@@ -227,16 +238,16 @@
     account: AccountId,
     body: &[u8],
     req: Request,
-) -> Served {
-    let parsed =
-        CallHeaders::of(&req).and_then(|headers| Ok((headers, CompletionRequest::parse(body)?)));
+) -> ServeResult {
+    let parsed = CallHeaders::from_request(&req)
+        .and_then(|headers| Ok((headers, CompletionRequest::parse(body)?)));
     let (headers, completion) = match parsed {
         Ok(parsed) => parsed,
-        Err(err) => return refuse(req, number, &err).map(|()| Err(err)),
+        Err(err) => return respond_with_error(req, number, &err).map(|()| Err(err)),
     };
     let rules = cx.rules.get();
     if let Err(err) = rules.check_model_access(account, &completion.model) {
-        return refuse(req, number, &err).map(|()| Err(err));
+        return respond_with_error(req, number, &err).map(|()| Err(err));
     }
     let (model, stream) = (completion.model.clone(), completion.stream);
     let usage_event = completion.wants_usage();
@@ -250,79 +261,79 @@
         blocks: prompt.blocks,
         body: completion.into_upstream_body(),
     };
-    let order = programs::order(account, &headers, content, rules.index());
-    if let Err(err) = rules.check_quarantine(order.digest, Clock::wall_ms()) {
-        return refuse(req, number, &err).map(|()| Err(err));
+    let spec = programs::build_call_spec(account, &headers, content, rules.index());
+    if let Err(err) = rules.check_quarantine(spec.digest, Clock::wall_ms()) {
+        return respond_with_error(req, number, &err).map(|()| Err(err));
     }
     let out = req.into_writer();
-    let head = AnswerHead {
+    let info = ResponseInfo {
         number,
-        id: format!("chatcmpl-{}", order.request.program).into(),
+        id: format!("chatcmpl-{}", spec.request.program).into(),
         usage_event,
         model,
     };
     log::info!(
         "event=call req={number} program={} key={}",
-        order.request.program,
-        order.key
+        spec.request.program,
+        spec.key
     );
     if stream {
-        let mut answer = EventAnswer::new(out, head);
-        let ran = run_call(&cx.calls, &order, &mut answer);
-        told(ran, |err| answer.fail(err))
+        let mut response = EventStreamResponse::new(out, info);
+        let result = run_call(&cx.calls, &spec, &mut response);
+        send_failure(result, |err| response.fail(err))
     } else {
-        let mut answer = WholeAnswer::new(out, head);
-        let ran = run_call(&cx.calls, &order, &mut answer);
-        told(ran, |err| answer.fail(err))
+        let mut response = JsonResponse::new(out, info);
+        let result = run_call(&cx.calls, &spec, &mut response);
+        send_failure(result, |err| response.fail(err))
     }
 }
 
-/// Tells the caller how a call failed, if it did.
-fn told(ran: Result<()>, fail: impl FnOnce(&Error) -> io::Result<()>) -> Served {
-    match ran {
+/// Sends the error of a failed call to the caller.
+fn send_failure(result: Result<()>, fail: impl FnOnce(&Error) -> io::Result<()>) -> ServeResult {
+    match result {
         Ok(()) => Ok(Ok(())),
         Err(err) => fail(&err).map(|()| Err(err)),
     }
 }
 
-/// Serves a request to a plain service.
+/// Serves a request to a service other than a model engine.
 fn call_service(
     cx: &EntryContext,
     number: u64,
     account: AccountId,
     body: &[u8],
     req: Request,
-) -> Served {
+) -> ServeResult {
     let rules = cx.rules.get();
-    let name: Box<str> = Route::service(req.url()).into();
-    let headers = match CallHeaders::of(&req) {
+    let name: Box<str> = Route::service_name(req.url()).into();
+    let headers = match CallHeaders::from_request(&req) {
         Ok(headers) => CallHeaders {
             idempotent: headers.idempotent && rules.is_repeatable(ServiceId::of(&name)),
             ..headers
         },
-        Err(err) => return refuse(req, number, &err).map(|()| Err(err)),
+        Err(err) => return respond_with_error(req, number, &err).map(|()| Err(err)),
     };
     let content = CallContent::service(&name, body);
-    let order = programs::order(account, &headers, content, rules.index());
-    if let Err(err) = rules.check_quarantine(order.digest, Clock::wall_ms()) {
-        return refuse(req, number, &err).map(|()| Err(err));
+    let spec = programs::build_call_spec(account, &headers, content, rules.index());
+    if let Err(err) = rules.check_quarantine(spec.digest, Clock::wall_ms()) {
+        return respond_with_error(req, number, &err).map(|()| Err(err));
     }
-    let mut answer = BodyAnswer::new(req.into_writer(), number);
-    let ran = run_call(&cx.calls, &order, &mut answer);
-    told(ran, |err| answer.fail(err))
+    let mut response = ServiceResponse::new(req.into_writer(), number);
+    let result = run_call(&cx.calls, &spec, &mut response);
+    send_failure(result, |err| response.fail(err))
 }
 
-/// Serves a request about programs.
+/// Serves a request to a program endpoint.
 fn call_programs(
     cx: &EntryContext,
     number: u64,
     account: AccountId,
     body: &[u8],
     req: Request,
-) -> Served {
+) -> ServeResult {
     let path: Box<str> = Route::path(req.url()).into();
     match serve_programs(cx, account, &req, &path, body) {
         Ok((status, body)) => write_json(&mut req.into_writer(), status, number, "", &body).map(Ok),
-        Err(err) => refuse(req, number, &err).map(|()| Err(err)),
+        Err(err) => respond_with_error(req, number, &err).map(|()| Err(err)),
     }
 }
--- a/crates/sapphirequayd/src/connection/listener.rs
+++ b/crates/sapphirequayd/src/connection/listener.rs
@@ -1,10 +1,10 @@
-//! The callers' listening socket and its time limits.
+//! Listening socket for callers and its time-outs.
 //!
-//! `tiny_http` sets no time limits, so they are set on the listening socket,
-//! from which accepted sockets inherit them. The receive timeout also ends
-//! `accept` on the listener, after which `tiny_http` accepts nothing more: a
-//! thread connects to the listener often enough that this does not come to
-//! pass, and [`serve_forever`] starts a new server if it does.
+//! `tiny_http` sets no time-outs, so they are set on the listening socket, from
+//! which accepted sockets inherit them. The receive time-out also applies to
+//! `accept` on the listener, and `tiny_http` stops accepting after such a
+//! time-out. [`prevent_accept_timeout`] avoids this by connecting to the listener
+//! regularly, and [`serve_forever`] starts a new server if it happens anyway.
 
 use {
     crate::settings::EntrySettings,
@@ -19,19 +19,19 @@
     tiny_http::{Request, Server},
 };
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: i32 = 1_024;
 
-/// Idle time after which a caller's host is probed.
+/// Idle time after which TCP keep-alive probes are sent to a caller.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(15);
 
-/// Connections to oneself within one receive timeout.
-const WAKES_A_TIMEOUT: u32 = 4;
+/// Number of connections made to the listener per receive time-out.
+const WAKES_PER_TIMEOUT: u32 = 4;
 
-/// Pause before a new server takes the place of one that stopped accepting.
+/// Pause before a server that stopped accepting is replaced.
 const RESTART_PAUSE: Duration = Duration::from_millis(100);
 
-/// Longest time to set up a connection to oneself.
+/// Connect time-out of the connections made to the listener.
 const WAKE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Opens the listening socket.
@@ -44,33 +44,34 @@
     socket.set_reuse_address(true)?;
     socket.bind(&cfg.listen.into())?;
     let listener = TcpListener::from(socket);
-    limit(&listener, cfg)?;
+    set_socket_options(&listener, cfg)?;
     SockRef::from(&listener).listen(BACKLOG)?;
     Ok(listener)
 }
 
-/// Sets what accepted sockets inherit.
-fn limit(listener: &TcpListener, cfg: &EntrySettings) -> io::Result<()> {
+/// Sets the socket options that accepted sockets inherit.
+fn set_socket_options(listener: &TcpListener, cfg: &EntrySettings) -> io::Result<()> {
     let socket = SockRef::from(listener);
     socket.set_read_timeout(Some(cfg.read_timeout()))?;
     socket.set_write_timeout(Some(cfg.send_timeout()))?;
     socket.set_tcp_user_timeout(Some(cfg.send_timeout()))?;
     socket.set_tcp_keepalive(&TcpKeepalive::new().with_time(KEEPALIVE_IDLE))?;
-    // Each event is a small write that must leave at once.
+    // Each event is a small write that must be sent without delay.
     socket.set_tcp_nodelay(true)
 }
 
-/// Connects to `addr` often enough that accepting never times out.
-pub fn keep_awake(addr: SocketAddr, read_timeout: Duration) {
+/// Connects to the listener at `addr` regularly, so that `accept` does not time
+/// out.
+pub fn prevent_accept_timeout(addr: SocketAddr, read_timeout: Duration) {
     loop {
-        thread::sleep(read_timeout / WAKES_A_TIMEOUT);
+        thread::sleep(read_timeout / WAKES_PER_TIMEOUT);
         if let Err(err) = TcpStream::connect_timeout(&addr, WAKE_TIMEOUT) {
             log::warn!("event=edge_wake_failed addr={addr} cause={err:?}");
         }
     }
 }
 
-/// Hands every request to `serve` until it breaks off.
+/// Passes every request to `serve` until it returns [`ControlFlow::Break`].
 pub fn serve_forever(
     listener: &TcpListener,
     read_timeout: Duration,
@@ -81,11 +82,11 @@
             .try_clone()
             .and_then(|copy| Server::from_listener(copy, None).map_err(io::Error::other));
         match server {
-            Ok(server) => match take_requests(&server, &serve) {
+            Ok(server) => match receive_requests(&server, &serve) {
                 ControlFlow::Break(()) => return,
                 ControlFlow::Continue(err) => {
                     log::warn!("event=edge_restarted cause={err:?}");
-                    finish(server, read_timeout, serve.clone());
+                    finish_connections(server, read_timeout, serve.clone());
                 }
             },
             Err(err) => log::error!("event=edge_down cause={err:?}"),
@@ -94,8 +95,8 @@
     }
 }
 
-/// Takes requests until the server stops accepting.
-fn take_requests(
+/// Passes requests to `serve` until the server stops accepting or `serve` breaks.
+fn receive_requests(
     server: &Server,
     serve: &impl Fn(Request) -> ControlFlow<()>,
 ) -> ControlFlow<(), io::Error> {
@@ -107,14 +108,15 @@
     }
 }
 
-/// Serves the connections that a stopped server still has, until they are idle.
-fn finish(
+/// Serves the open connections of a server that stopped accepting, until no
+/// request has arrived for two receive time-outs.
+fn finish_connections(
     server: Server,
     read_timeout: Duration,
     serve: impl Fn(Request) -> ControlFlow<()> + Send + 'static,
 ) {
     let spawned = thread::Builder::new()
-        .name("edge-rest".into())
+        .name("entry-finish".into())
         .spawn(move || {
             while let Ok(Some(req)) = server.recv_timeout(read_timeout * 2) {
                 if serve(req).is_break() {
--- a/crates/sapphirequayd/src/connection/mod.rs
+++ b/crates/sapphirequayd/src/connection/mod.rs
@@ -1,4 +1,4 @@
-//! What lives for one connection: callers' HTTP and the upstream's.
+//! HTTP connections: the server for callers and the clients of upstreams.
 
 mod body;
 mod engine;
--- a/crates/sapphirequayd/src/connection/programs.rs
+++ b/crates/sapphirequayd/src/connection/programs.rs
@@ -1,4 +1,4 @@
-//! Callers' headers of a call, and `/v1/programs`.
+//! Request headers of a call, and the `/v1/programs` endpoints.
 
 use {
     crate::{connection::entry_server::EntryContext, request::CallSpec},
@@ -14,40 +14,41 @@
     tiny_http::Request,
 };
 
-/// Path of programs.
+/// Path of the program endpoints.
 pub const PROGRAMS: &str = "/v1/programs";
 
-/// Deadline of a call where the caller names none, and the longest it may name.
+/// Default deadline of a call, and the longest that a caller may set.
 const MAX_DEADLINE: Duration = Duration::from_mins(10);
 
-/// Time beyond its deadline for which a program of one call is kept open.
+/// Time for which an implicit program stays open after its call's deadline, in
+/// seconds.
 const IMPLICIT_GRACE_S: u64 = 60;
 
-/// Longest wait for the ledger in a request about a program.
-const LEDGER_PATIENCE: Duration = Duration::from_secs(4);
+/// Time-out of a ledger request from the program endpoints.
+const LEDGER_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// What the headers say of a call.
+/// Parsed request headers of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallHeaders {
-    /// Program of the call; `None` if it is one of its own.
+    /// Program of the call; `None` creates an implicit program for this call.
     pub program: Option<ProgramId>,
-    /// Position in the program.
+    /// Position of the call in its program, from 1.
     pub number: Option<CallNumber>,
-    /// The caller's key.
+    /// Idempotency key supplied by the caller.
     pub key: Option<Box<str>>,
-    /// Whether the call may run more than once.
+    /// Whether the call may be executed more than once.
     pub idempotent: bool,
-    /// Time that the caller waits.
+    /// Time for which the caller waits for the response.
     pub deadline: Duration,
 }
 
 impl CallHeaders {
-    /// Reads the headers of a request.
+    /// Parses the headers of a request.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::BadRequest`] names the header and what is wrong with it.
-    pub fn of(req: &Request) -> Result<Self> {
+    /// [`ErrorKind::BadRequest`] with the invalid header and the reason.
+    pub fn from_request(req: &Request) -> Result<Self> {
         let header = |name: &'static str| {
             let mut headers = req.headers().iter();
             headers
@@ -57,7 +58,7 @@
         Self::parse(header)
     }
 
-    /// Reads the headers that `header` finds by name.
+    /// Parses the headers, looked up by name with `header`.
     fn parse<'a>(header: impl Fn(&'static str) -> Option<&'a str>) -> Result<Self> {
         let program = header("Sapphirequay-Program").map(parse_program);
         let number = header("Sapphirequay-Call").map(parse_number);
@@ -65,7 +66,7 @@
         let deadline = header("Sapphirequay-Deadline-Ms").map(parse_deadline);
         let key = header("Idempotency-Key");
         if key == Some("") {
-            return Err(bad("Idempotency-Key", "it is empty"));
+            return Err(header_error("Idempotency-Key", "must not be empty"));
         }
         let headers = Self {
             program: program.transpose()?,
@@ -75,70 +76,76 @@
             deadline: deadline.transpose()?.unwrap_or(MAX_DEADLINE),
         };
         if headers.program.is_none() && headers.number.is_some_and(|number| number.0 > 1) {
-            return Err(bad("Sapphirequay-Call", "the call has no program"));
+            return Err(header_error(
+                "Sapphirequay-Call",
+                "a call number above 1 needs a Sapphirequay-Program header",
+            ));
         }
         Ok(headers)
     }
 }
 
-/// An error about a header.
-fn bad(header: &str, cause: impl std::fmt::Display) -> Error {
+/// Creates the error for an invalid header.
+fn header_error(header: &str, cause: impl std::fmt::Display) -> Error {
     Error::new(ErrorKind::BadRequest, format!("{header}: {cause}"))
 }
 
-/// Parses a program id.
 fn parse_program(text: &str) -> Result<ProgramId> {
-    text.parse().map_err(|err| bad("Sapphirequay-Program", err))
+    text.parse()
+        .map_err(|err| header_error("Sapphirequay-Program", err))
 }
 
-/// Parses a call number.
+/// Parses a call number, which must not be 0.
 fn parse_number(text: &str) -> Result<CallNumber> {
     match text.parse() {
-        Ok(0) => Err(bad("Sapphirequay-Call", "calls are numbered from 1")),
+        Ok(0) => Err(header_error(
+            "Sapphirequay-Call",
+            "calls are numbered from 1",
+        )),
         Ok(number) => Ok(CallNumber(number)),
-        Err(err) => Err(bad("Sapphirequay-Call", err)),
+        Err(err) => Err(header_error("Sapphirequay-Call", err)),
     }
 }
 
-/// Parses whether a call may run more than once.
+/// Parses the flag for calls that may be executed more than once.
 fn parse_idempotent(text: &str) -> Result<bool> {
     text.parse()
-        .map_err(|_| bad("Sapphirequay-Idempotent", "it is neither true nor false"))
+        .map_err(|_| header_error("Sapphirequay-Idempotent", "must be true or false"))
 }
 
-/// Parses a deadline.
+/// Parses a deadline in milliseconds, capped at [`MAX_DEADLINE`].
 fn parse_deadline(text: &str) -> Result<Duration> {
     match text.parse() {
-        Ok(0) => Err(bad("Sapphirequay-Deadline-Ms", "it is 0")),
+        Ok(0) => Err(header_error("Sapphirequay-Deadline-Ms", "must be positive")),
         Ok(ms) => Ok(Duration::from_millis(ms).min(MAX_DEADLINE)),
-        Err(err) => Err(bad("Sapphirequay-Deadline-Ms", err)),
+        Err(err) => Err(header_error("Sapphirequay-Deadline-Ms", err)),
     }
 }
 
 // ---------------------------------------------------------------------------
 // Calls
 
-/// What a call is about, as its body says.
+/// Content of a call, taken from its request body.
 #[derive(Debug)]
 pub struct CallContent<'a> {
-    /// What to run.
+    /// Model or service to call.
     pub target: CallTarget,
-    /// Body as the caller sent it.
+    /// Request body as received from the caller.
     pub sent: &'a [u8],
-    /// Body for the upstream.
+    /// Request body to send to the upstream.
     pub body: Box<[u8]>,
-    /// New part of the prompt, for the history.
+    /// Messages new in this call, for the program's history.
     pub history: Box<[u8]>,
-    /// Estimate of the prompt's length.
+    /// Estimated length of the prompt.
     pub prompt: Tokens,
-    /// Most tokens that the answer may have.
+    /// Maximum length of the output.
     pub max_output: Tokens,
-    /// Chained hashes of the prompt's blocks.
+    /// Chained hashes of the prompt's blocks, for the prefix index.
     pub blocks: Box<[u64]>,
 }
 
 impl<'a> CallContent<'a> {
-    /// A request to a plain service.
+    /// Creates the content of a request to a service other than a model engine.
     #[must_use]
     pub fn service(name: &str, body: &'a [u8]) -> Self {
         Self {
@@ -153,8 +160,8 @@
     }
 }
 
-/// The order for a call of `account`.
-pub fn order(
+/// Builds the specification of a call of `account`.
+pub fn build_call_spec(
     account: AccountId,
     headers: &CallHeaders,
     content: CallContent<'_>,
@@ -162,7 +169,7 @@
 ) -> CallSpec {
     let key_text = headers.key.clone().unwrap_or_else(random_key);
     let key = RequestKey::of(account, &key_text);
-    let program = headers.program.unwrap_or_else(|| program_of(key));
+    let program = headers.program.unwrap_or_else(|| derive_program_id(key));
     let implicit = headers
         .program
         .is_none()
@@ -185,7 +192,8 @@
             prompt: content.prompt,
             max_output: content.max_output,
             attained: Tokens(0),
-            // A sub-agent's parent waits for it, however deep it is.
+            // Depth 1 for every sub-agent: its parent waits for the sub-agent
+            // regardless of the nesting level.
             depth: u8::from(!program.is_root()),
             blocks: content.blocks,
             resume_offset: 0,
@@ -201,18 +209,19 @@
     }
 }
 
-/// A key that no other request has.
+/// Generates a unique key for a request without an idempotency key.
 fn random_key() -> Box<str> {
     let (upper, lower) = (rand::rng().next_u64(), rand::rng().next_u64());
     format!("entry-{upper:016x}{lower:016x}").into()
 }
 
-/// The program of a request that has none: a resend at any entry finds the same.
-fn program_of(key: RequestKey) -> ProgramId {
+/// Derives a program's id from the request key, so that a resend through any
+/// entry refers to the same program.
+fn derive_program_id(key: RequestKey) -> ProgramId {
     ProgramId::root(ContentDigest::of(&[b"program", &key.0.to_le_bytes()]).to_u64())
 }
 
-/// Limits of a program of one call.
+/// Limits of an implicit program, which holds a single call.
 fn implicit_limits(headers: &CallHeaders, content: &CallContent<'_>) -> ProgramLimits {
     let lifetime_s = headers.deadline.as_secs() + IMPLICIT_GRACE_S;
     ProgramLimits {
@@ -227,13 +236,13 @@
 // ---------------------------------------------------------------------------
 // Programs
 
-/// Body of `POST /v1/programs`; what is left out has a default.
+/// Body of `POST /v1/programs`. Omitted limits default to those of the account.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct CreateBody {
-    /// Program that the new one is a sub-agent of.
+    /// Parent program, if the new program is a sub-agent.
     parent: Option<Box<str>>,
-    /// Tokens; a sub-agent's are carved from its parent's.
+    /// Token budget; a sub-agent's is reserved from its parent's budget.
     budget_tokens: Option<u64>,
     turns: Option<u32>,
     lifetime_s: Option<u32>,
@@ -241,11 +250,12 @@
     depth: Option<u8>,
 }
 
-/// Serves a request about programs: the status and body of the answer.
+/// Serves a request to a program endpoint and returns the status and body of the
+/// response.
 ///
 /// # Errors
 ///
-/// The error that the caller is told.
+/// Returns the error to send to the caller.
 pub fn serve_programs(
     cx: &EntryContext,
     account: AccountId,
@@ -255,18 +265,18 @@
 ) -> Result<(u16, Value)> {
     let id = path.strip_prefix(PROGRAMS).unwrap_or_default();
     match (req.method().as_str(), id.strip_prefix('/')) {
-        ("POST", None) => create(cx, account, CallHeaders::of(req)?.key, body),
-        ("GET", Some(id)) => show(cx, account, find(id)?),
-        ("DELETE", Some(id)) => end(cx, account, find(id)?),
+        ("POST", None) => create(cx, account, CallHeaders::from_request(req)?.key, body),
+        ("GET", Some(id)) => show(cx, account, parse_path_id(id)?),
+        ("DELETE", Some(id)) => end(cx, account, parse_path_id(id)?),
         (method, _) => Err(Error::new(
             ErrorKind::MethodNotAllowed,
-            format!("{method} does not fit {path}"),
+            format!("{method} is not allowed on {path}"),
         )),
     }
 }
 
-/// Parses the id of a path.
-fn find(id: &str) -> Result<ProgramId> {
+/// Parses the program id in a request path.
+fn parse_path_id(id: &str) -> Result<ProgramId> {
     id.parse()
         .map_err(|err| Error::new(ErrorKind::NotFound, format!("{err}")))
 }
@@ -281,7 +291,7 @@
     let body = if body.is_empty() { b"{}" } else { body };
     let body: CreateBody = serde_json::from_slice(body)
         .map_err(|err| Error::new(ErrorKind::BadRequest, format!("body: {err}")))?;
-    let key_named = key.is_some();
+    let key_supplied = key.is_some();
     let key = RequestKey::of(account, &key.unwrap_or_else(random_key));
     let parent = body.parent.as_deref().map(|id| {
         id.parse::<ProgramId>()
@@ -291,19 +301,20 @@
     let new = NewProgram {
         account,
         key,
-        program: parent.unwrap_or_else(|| program_of(key)),
+        program: parent.unwrap_or_else(|| derive_program_id(key)),
         sub_agent: parent.is_some(),
-        limits: limits(&body, &cx.rules.get().program_limits(account))?,
+        limits: requested_limits(&body, &cx.rules.get().program_limits(account))?,
     };
     let program = new.program;
-    match ask(cx, program, &LedgerRequest::Create(new), key_named)? {
+    match ledger_request(cx, program, &LedgerRequest::Create(new), key_supplied)? {
         LedgerReply::Created(id) => Ok((201, json!({"id": id.to_string()}))),
-        reply => Err(unexpected(&reply)),
+        reply => Err(unexpected_reply(&reply)),
     }
 }
 
-/// The limits that a body asks for; the account's where it asks for none.
-fn limits(body: &CreateBody, account: &ProgramLimits) -> Result<ProgramLimits> {
+/// Returns the requested limits, with those of the account as defaults and as
+/// maximum.
+fn requested_limits(body: &CreateBody, account: &ProgramLimits) -> Result<ProgramLimits> {
     let limits = ProgramLimits {
         budget: body.budget_tokens.map_or(account.budget, Tokens),
         turns: body.turns.unwrap_or(account.turns),
@@ -311,7 +322,7 @@
         sub_agents: body.sub_agents.unwrap_or(account.sub_agents),
         depth: body.depth.unwrap_or(account.depth),
     };
-    let asked = [
+    let requested = [
         ("budget_tokens", limits.budget.0, account.budget.0),
         ("turns", limits.turns.into(), account.turns.into()),
         (
@@ -326,8 +337,11 @@
         ),
         ("depth", limits.depth.into(), account.depth.into()),
     ];
-    if let Some((name, asked, most)) = asked.into_iter().find(|(_, asked, most)| asked > most) {
-        let message = format!("{name}: {asked} is over the account's limit of {most}");
+    if let Some((name, requested, max)) = requested
+        .into_iter()
+        .find(|(_, requested, max)| requested > max)
+    {
+        let message = format!("{name}: {requested} is over the account's limit of {max}");
         return Err(Error::new(ErrorKind::ProgramLimit, message));
     }
     if limits.budget.0 == 0 || limits.turns == 0 || limits.lifetime_s == 0 {
@@ -339,30 +353,33 @@
     Ok(limits)
 }
 
-/// Tells a program's state and history.
+/// Returns the state and history of a program.
 fn show(cx: &EntryContext, account: AccountId, id: ProgramId) -> Result<(u16, Value)> {
-    match ask(cx, id, &LedgerRequest::Show(id, account), false)? {
+    match ledger_request(cx, id, &LedgerRequest::Show(id, account), false)? {
         LedgerReply::Program(status) => Ok((200, status_json(&status))),
-        reply => Err(unexpected(&reply)),
+        reply => Err(unexpected_reply(&reply)),
     }
 }
 
 /// Ends a program and its sub-agents.
 fn end(cx: &EntryContext, account: AccountId, id: ProgramId) -> Result<(u16, Value)> {
-    match ask(cx, id, &LedgerRequest::End(id, account), true)? {
+    match ledger_request(cx, id, &LedgerRequest::End(id, account), true)? {
         LedgerReply::Done => Ok((200, json!({"id": id.to_string(), "ended": true}))),
-        reply => Err(unexpected(&reply)),
+        reply => Err(unexpected_reply(&reply)),
     }
 }
 
-/// Asks the ledger; refusals and faults are errors.
-fn ask(
+/// Sends a request to the ledger; a refusal or a failed request is an error.
+///
+/// `sent_before` means that an earlier attempt of the same request may have
+/// taken effect, so that a failure must not be reported as not run.
+fn ledger_request(
     cx: &EntryContext,
     program: ProgramId,
     req: &LedgerRequest,
     sent_before: bool,
 ) -> Result<LedgerReply> {
-    match cx.calls.ledger.request(program, req, LEDGER_PATIENCE) {
+    match cx.calls.ledger.request(program, req, LEDGER_TIMEOUT) {
         Ok(LedgerReply::Refused(err)) => Err(err),
         Ok(reply) => Ok(reply),
         Err(fault) if sent_before => Err(fault.unreachable_error()),
@@ -370,13 +387,13 @@
     }
 }
 
-/// The error for a reply that does not fit its request.
-fn unexpected(reply: &LedgerReply) -> Error {
+/// Creates the error for a reply of the wrong type.
+fn unexpected_reply(reply: &LedgerReply) -> Error {
     log::error!("event=unexpected_ledger_reply reply={reply:?}");
-    Error::new(ErrorKind::Internal, "unexpected reply of the ledger")
+    Error::new(ErrorKind::Internal, "unexpected reply from the ledger")
 }
 
-/// The JSON form of a program.
+/// Encodes the state of a program as JSON.
 fn status_json(status: &ProgramStatus) -> Value {
     let limits = &status.limits;
     let calls = status.calls.iter().map(|call| {
@@ -400,7 +417,7 @@
     })
 }
 
-/// The JSON form of an outcome.
+/// Encodes the outcome of a call as JSON.
 fn outcome_json(outcome: &Outcome) -> Value {
     match outcome {
         Outcome::Completed { prompt, output, .. } => json!({
--- a/crates/sapphirequayd/src/connection/response.rs
+++ b/crates/sapphirequayd/src/connection/response.rs
@@ -1,4 +1,4 @@
-//! Writes answers to callers: server-sent events or one JSON body.
+//! Writers of responses to callers: server-sent events or one JSON body.
 
 use {
     crate::request::{ResponseWriter, Usage},
@@ -7,7 +7,7 @@
     std::io::{self, Write},
 };
 
-/// Reason phrase of a status; callers' libraries read the number only.
+/// Reason phrase of a status. Client libraries evaluate the status code only.
 const fn reason(status: u16) -> &'static str {
     match status {
         200..=299 => "OK",
@@ -16,25 +16,25 @@
     }
 }
 
-/// Time that answers carry because callers' libraries want one. It is always
-/// the same, so that a resend gets the very answer that was recorded.
+/// Creation time in completions, which client libraries require. A constant, so
+/// that a resend receives exactly the recorded response.
 const CREATED: u64 = 0;
 
-/// What every answer to one request shares.
+/// Data of a request that its response contains.
 #[derive(Debug, Clone)]
-pub struct AnswerHead {
+pub struct ResponseInfo {
     /// Number of the request in this process, for logs.
     pub number: u64,
     /// Id of the completion.
     pub id: Box<str>,
-    /// Model that the caller named.
+    /// Model name from the request.
     pub model: Box<str>,
-    /// Whether the last event of a stream tells the tokens used.
+    /// Whether a stream ends with an event that reports the token usage.
     pub usage_event: bool,
 }
 
-/// Writes a whole response. The connection can be used again
-/// unless a header says otherwise.
+/// Writes a complete response. The connection stays open for further requests
+/// unless `headers` contains `connection: close`.
 pub fn write_body(
     out: &mut impl Write,
     status: u16,
@@ -52,7 +52,7 @@
     out.flush()
 }
 
-/// Writes a whole response in JSON.
+/// Writes a complete response with a JSON body.
 pub fn write_json(
     out: &mut impl Write,
     status: u16,
@@ -64,17 +64,17 @@
     write_body(out, status, number, &headers, body.to_string().as_bytes())
 }
 
-/// Writes an error as a whole response.
+/// Writes a complete error response.
 pub fn write_error(out: &mut impl Write, number: u64, err: &Error) -> io::Result<()> {
     write_error_with(out, number, err, "")
 }
 
-/// Writes an error as the last response of its connection.
+/// Writes an error response that closes the connection.
 pub fn write_last_error(out: &mut impl Write, number: u64, err: &Error) -> io::Result<()> {
     write_error_with(out, number, err, "connection: close\r\n")
 }
 
-/// Writes an error with further `headers`.
+/// Writes an error response with additional `headers`.
 fn write_error_with(
     out: &mut impl Write,
     number: u64,
@@ -88,7 +88,7 @@
     write_json(out, err.kind.status(), number, &headers, &error_json(err))
 }
 
-/// The JSON form of an error.
+/// Encodes an error as JSON.
 pub fn error_json(err: &Error) -> Value {
     json!({"error": {
         "kind": err.kind.name(), "type": err.kind.name(), "code": err.kind.name(),
@@ -96,7 +96,7 @@
     }})
 }
 
-/// Name of a finish reason.
+/// Name of a finish reason in completions.
 const fn finish_name(finish: FinishReason) -> &'static str {
     match finish {
         FinishReason::Stop => "stop",
@@ -104,7 +104,7 @@
     }
 }
 
-/// The token counts of an answer.
+/// Encodes the token counts of a response as JSON.
 fn usage_json(usage: Usage) -> Value {
     json!({
         "prompt_tokens": usage.prompt.0,
@@ -115,163 +115,167 @@
 }
 
 // ----------------------------------------------------------------------------
-// Events
+// Server-sent events
 
-/// Answers with server-sent events over a chunked body.
-pub struct EventAnswer<W> {
+/// Writer of a response of server-sent events in a chunked body.
+pub struct EventStreamResponse<W> {
     out: W,
-    head: AnswerHead,
-    /// Whether the response's head is written: from then on errors are events.
-    started: bool,
-    /// Bytes of the answer so far.
+    info: ResponseInfo,
+    /// Whether the response head was sent; after that, errors are sent as events.
+    head_sent: bool,
+    /// Number of text bytes sent so far.
     bytes: u64,
-    /// Checksum of the answer so far.
+    /// CRC-32 of the text sent so far.
     checksum: crc32fast::Hasher,
 }
 
-impl<W: Write> EventAnswer<W> {
-    /// An answer to one request.
-    pub fn new(out: W, head: AnswerHead) -> Self {
+impl<W: Write> EventStreamResponse<W> {
+    /// Creates a writer of the response to one request.
+    pub fn new(out: W, info: ResponseInfo) -> Self {
         Self {
             out,
-            head,
-            started: false,
+            info,
+            head_sent: false,
             bytes: 0,
             checksum: crc32fast::Hasher::new(),
         }
     }
 
-    /// Writes the head before the first event.
-    fn start(&mut self) -> io::Result<()> {
-        if self.started {
+    /// Writes the response head, unless it was already sent.
+    fn write_head(&mut self) -> io::Result<()> {
+        if self.head_sent {
             return Ok(());
         }
-        self.started = true;
+        self.head_sent = true;
         write!(
             self.out,
             "HTTP/1.1 200 OK\r\nsapphirequay-request: {}\r\ncontent-type: text/event-stream\r\n\
             cache-control: no-cache\r\ntransfer-encoding: chunked\r\n\r\n",
-            self.head.number
+            self.info.number
         )
     }
 
-    /// Writes one chunk and flushes it: the caller waits for each event.
-    fn chunk(&mut self, text: &str) -> io::Result<()> {
-        self.start()?;
+    /// Writes one chunk and flushes it, so that each event is sent immediately.
+    fn write_chunk(&mut self, text: &str) -> io::Result<()> {
+        self.write_head()?;
         write!(self.out, "{:x}\r\n{text}\r\n", text.len())?;
         self.out.flush()
     }
 
-    /// Writes one completion chunk with `extra` fields beside the common ones.
-    fn completion(&mut self, choices: &Value, extra: &[(&str, Value)]) -> io::Result<()> {
+    /// Writes a completion chunk with the common fields and the `extra` fields.
+    fn write_completion(&mut self, choices: &Value, extra: &[(&str, Value)]) -> io::Result<()> {
         let mut event = json!({
-            "id": self.head.id, "object": "chat.completion.chunk",
-            "created": CREATED, "model": self.head.model, "choices": choices,
+            "id": self.info.id, "object": "chat.completion.chunk",
+            "created": CREATED, "model": self.info.model, "choices": choices,
         });
         for (name, value) in extra {
             event[*name] = value.clone();
         }
-        self.chunk(&format!("data: {event}\n\n"))
+        self.write_chunk(&format!("data: {event}\n\n"))
     }
 
-    /// Says who speaks, once, before the text, as callers' libraries expect.
-    fn role(&mut self) -> io::Result<()> {
-        if self.started {
+    /// Writes the chunk with the assistant role, which client libraries expect once
+    /// before the text.
+    fn write_role(&mut self) -> io::Result<()> {
+        if self.head_sent {
             return Ok(());
         }
         let delta = json!({"role": "assistant", "content": ""});
-        self.completion(&json!([choice(&delta, None)]), &[])
+        self.write_completion(&json!([choice(&delta, None)]), &[])
     }
 
-    /// Reports an error: as a status if nothing was written, else as an event.
+    /// Sends an error: as an HTTP status if the response head was not sent yet,
+    /// else as an event.
     pub fn fail(&mut self, err: &Error) -> io::Result<()> {
-        if !self.started {
-            return write_error(&mut self.out, self.head.number, err);
+        if !self.head_sent {
+            return write_error(&mut self.out, self.info.number, err);
         }
-        self.chunk(&format!("event: error\ndata: {}\n\n", error_json(err)))?;
+        self.write_chunk(&format!("event: error\ndata: {}\n\n", error_json(err)))?;
         self.finish()
     }
 
-    /// Writes the last chunk.
+    /// Writes the terminating chunk of the body.
     fn finish(&mut self) -> io::Result<()> {
         self.out.write_all(b"0\r\n\r\n")?;
         self.out.flush()
     }
 }
 
-/// The only choice of an event.
+/// Encodes the single choice of a completion chunk.
 fn choice(delta: &Value, finish: Option<&str>) -> Value {
     json!({"index": 0, "delta": delta, "finish_reason": finish})
 }
 
-impl<W: Write> ResponseWriter for EventAnswer<W> {
+impl<W: Write> ResponseWriter for EventStreamResponse<W> {
     fn delta(&mut self, text: &str) -> io::Result<()> {
-        self.role()?;
+        self.write_role()?;
         let offset = json!({"offset": self.bytes});
         self.bytes += text.len() as u64;
         self.checksum.update(text.as_bytes());
         let choices = json!([choice(&json!({"content": text}), None)]);
-        self.completion(&choices, &[("sapphirequay", offset)])
+        self.write_completion(&choices, &[("sapphirequay", offset)])
     }
 
     fn restart(&mut self) -> io::Result<()> {
         self.bytes = 0;
         self.checksum = crc32fast::Hasher::new();
-        self.chunk("event: restart\ndata: {}\n\n")
+        self.write_chunk("event: restart\ndata: {}\n\n")
     }
 
     fn heartbeat(&mut self) -> io::Result<()> {
-        self.role()?;
-        self.chunk(": heartbeat\n\n")
+        self.write_role()?;
+        self.write_chunk(": heartbeat\n\n")
     }
 
     fn end(&mut self, finish: FinishReason, usage: Usage) -> io::Result<()> {
-        self.role()?;
-        let mark = json!({
+        self.write_role()?;
+        let summary = json!({
             "bytes": self.bytes, "tokens": usage.output.0,
             "crc32": format!("{:08x}", self.checksum.clone().finalize()),
         });
         let choices = json!([choice(&json!({}), Some(finish_name(finish)))]);
-        self.completion(&choices, &[("sapphirequay", mark)])?;
-        if self.head.usage_event {
-            self.completion(&json!([]), &[("usage", usage_json(usage))])?;
+        self.write_completion(&choices, &[("sapphirequay", summary)])?;
+        if self.info.usage_event {
+            self.write_completion(&json!([]), &[("usage", usage_json(usage))])?;
         }
-        self.chunk("data: [DONE]\n\n")?;
+        self.write_chunk("data: [DONE]\n\n")?;
         self.finish()
     }
 
     fn body(&mut self, _: u16, _: &[u8]) -> io::Result<()> {
-        Err(io::Error::other("a model does not answer with a body"))
+        Err(io::Error::other(
+            "unexpected response body from a model engine",
+        ))
     }
 }
 
 // ----------------------------------------------------------------------------
-// One body
+// JSON responses
 
-/// Collects the answer and writes it whole.
-pub struct WholeAnswer<W> {
+/// Writer that collects the text and sends it as one JSON response.
+pub struct JsonResponse<W> {
     out: W,
-    head: AnswerHead,
+    info: ResponseInfo,
     text: String,
 }
 
-impl<W: Write> WholeAnswer<W> {
-    /// An answer to one request.
-    pub fn new(out: W, head: AnswerHead) -> Self {
+impl<W: Write> JsonResponse<W> {
+    /// Creates a writer of the response to one request.
+    pub fn new(out: W, info: ResponseInfo) -> Self {
         Self {
             out,
-            head,
+            info,
             text: String::new(),
         }
     }
 
-    /// Reports an error.
+    /// Sends an error response.
     pub fn fail(&mut self, err: &Error) -> io::Result<()> {
-        write_error(&mut self.out, self.head.number, err)
+        write_error(&mut self.out, self.info.number, err)
     }
 }
 
-impl<W: Write> ResponseWriter for WholeAnswer<W> {
+impl<W: Write> ResponseWriter for JsonResponse<W> {
     fn delta(&mut self, text: &str) -> io::Result<()> {
         self.text.push_str(text);
         Ok(())
@@ -288,8 +292,8 @@
 
     fn end(&mut self, finish: FinishReason, usage: Usage) -> io::Result<()> {
         let body = json!({
-            "id": self.head.id, "object": "chat.completion",
-            "created": CREATED, "model": self.head.model,
+            "id": self.info.id, "object": "chat.completion",
+            "created": CREATED, "model": self.info.model,
             "choices": [{
                 "index": 0, "finish_reason": finish_name(finish),
                 "message": {"role": "assistant", "content": self.text},
@@ -300,38 +304,40 @@
                 "crc32": format!("{:08x}", crc32fast::hash(self.text.as_bytes())),
             },
         });
-        write_json(&mut self.out, 200, self.head.number, "", &body)
+        write_json(&mut self.out, 200, self.info.number, "", &body)
     }
 
     fn body(&mut self, _: u16, _: &[u8]) -> io::Result<()> {
-        Err(io::Error::other("a model does not answer with a body"))
+        Err(io::Error::other(
+            "unexpected response body from a model engine",
+        ))
     }
 }
 
 // ----------------------------------------------------------------------------
-// Plain services
+// Services other than model engines
 
-/// Passes on the answer of a plain service.
-pub struct BodyAnswer<W> {
+/// Writer that forwards the response body of a service.
+pub struct ServiceResponse<W> {
     out: W,
     number: u64,
 }
 
-impl<W: Write> BodyAnswer<W> {
-    /// An answer to the request of this number.
+impl<W: Write> ServiceResponse<W> {
+    /// Creates a writer of the response to request `number`.
     pub const fn new(out: W, number: u64) -> Self {
         Self { out, number }
     }
 
-    /// Reports an error.
+    /// Sends an error response.
     pub fn fail(&mut self, err: &Error) -> io::Result<()> {
         write_error(&mut self.out, self.number, err)
     }
 }
 
-impl<W: Write> ResponseWriter for BodyAnswer<W> {
+impl<W: Write> ResponseWriter for ServiceResponse<W> {
     fn delta(&mut self, _: &str) -> io::Result<()> {
-        Err(io::Error::other("a service does not stream"))
+        Err(io::Error::other("unexpected stream from a service"))
     }
 
     fn restart(&mut self) -> io::Result<()> {
@@ -343,7 +349,7 @@
     }
 
     fn end(&mut self, _: FinishReason, _: Usage) -> io::Result<()> {
-        Err(io::Error::other("a service does not stream"))
+        Err(io::Error::other("unexpected stream from a service"))
     }
 
     fn body(&mut self, status: u16, body: &[u8]) -> io::Result<()> {
--- a/crates/sapphirequayd/src/connection/route.rs
+++ b/crates/sapphirequayd/src/connection/route.rs
@@ -1,11 +1,11 @@
-//! What a caller's method and path ask for.
+//! Routing of requests by method and path.
 
 use {
     crate::connection::programs::PROGRAMS,
     quay_types::{Error, ErrorKind, Result},
 };
 
-/// What a request is for.
+/// Endpoint that a request is routed to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Route {
     /// `GET /healthz`.
@@ -20,10 +20,11 @@
     Programs,
 }
 
-/// Start of the path of a plain service.
+/// Prefix of the paths of services other than model engines.
 const SERVICES: &str = "/v1/services/";
 
-/// Every path with its method.
+/// Method, path and route of each endpoint except [`PROGRAMS`], which has several
+/// methods.
 const ROUTES: &[(&str, &str, Route)] = &[
     ("GET", "/healthz", Route::Health),
     ("GET", "/metrics", Route::Metrics),
@@ -32,12 +33,12 @@
 ];
 
 impl Route {
-    /// The route of a request; `target` may carry a query.
+    /// Returns the route of a request; `target` may contain a query.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::NotFound`], or [`ErrorKind::MethodNotAllowed`] for a known
-    /// path.
+    /// [`ErrorKind::NotFound`] for an unknown path,
+    /// [`ErrorKind::MethodNotAllowed`] for a known path with another method.
     pub fn of(method: &str, target: &str) -> Result<Self> {
         let path = Self::path(target);
         if path.starts_with(PROGRAMS) {
@@ -49,19 +50,19 @@
         let Some((allowed, _, route)) = known else {
             return Err(Error::new(
                 ErrorKind::NotFound,
-                format!("no such path: {path}"),
+                format!("unknown path: {path}"),
             ));
         };
         if *allowed != method {
             return Err(Error::new(
                 ErrorKind::MethodNotAllowed,
-                format!("{path} takes {allowed}, not {method}"),
+                format!("{method} is not allowed on {path}; use {allowed}"),
             ));
         }
         Ok(*route)
     }
 
-    /// Name in logs and metrics.
+    /// Name of the route in logs and metrics.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -73,15 +74,15 @@
         }
     }
 
-    /// The path of a target, without its query.
+    /// Returns the path of a request target, without the query.
     #[must_use]
     pub fn path(target: &str) -> &str {
         target.split('?').next().unwrap_or_default()
     }
 
-    /// Name of the service that a path is for.
+    /// Returns the name of the service in a request target.
     #[must_use]
-    pub fn service(target: &str) -> &str {
+    pub fn service_name(target: &str) -> &str {
         Self::path(target)
             .strip_prefix(SERVICES)
             .unwrap_or_default()
--- a/crates/sapphirequayd/src/connection/service.rs
+++ b/crates/sapphirequayd/src/connection/service.rs
@@ -1,17 +1,17 @@
-//! Client of a plain service's HTTP interface.
+//! HTTP client of a service other than a model engine.
 
 use {
     quay_types::{CallEvent, Error, ErrorKind},
     std::{io::Read as _, net::SocketAddr, time::Duration},
 };
 
-/// Limit of setting up a connection to the service on the same host.
+/// Connect time-out; the service is on the same host.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Largest answer of a service.
-const MAX_ANSWER_BYTES: u64 = 4 << 20;
+/// Maximum size of a service's response, in bytes.
+const MAX_RESPONSE_BYTES: u64 = 4 << 20;
 
-/// Calls one plain service.
+/// HTTP client of one service.
 #[derive(Debug, Clone)]
 pub struct ServiceClient {
     agent: ureq::Agent,
@@ -19,11 +19,12 @@
 }
 
 impl ServiceClient {
-    /// A client of the service at `addr`.
+    /// Creates a client of the service at `addr`.
     #[must_use]
     pub fn new(addr: SocketAddr) -> Self {
-        // Neither pool nor redirects: each request is sent once, on a
-        // connection of its own, so that its failure says whether it ran.
+        // Without connection pool and redirects, each request is sent once on
+        // a connection of its own, so that an error tells whether the request
+        // may have run.
         let agent = ureq::AgentBuilder::new()
             .timeout_connect(CONNECT_TIMEOUT)
             .max_idle_connections(0)
@@ -45,51 +46,52 @@
             .set("content-type", "application/json")
             .send_bytes(body);
         match sent {
-            Ok(response) | Err(ureq::Error::Status(_, response)) => read_answer(response),
-            Err(ureq::Error::Transport(err)) if never_connected(&err) => {
+            Ok(response) | Err(ureq::Error::Status(_, response)) => read_response(response),
+            Err(ureq::Error::Transport(err)) if failed_before_send(&err) => {
                 CallEvent::Refused(Error::new(
                     ErrorKind::NoUpstream,
-                    format!("the service takes no connection: {err}"),
+                    format!("can't connect to the service: {err}"),
                 ))
             }
-            Err(ureq::Error::Transport(err)) => lost(&err),
+            Err(ureq::Error::Transport(err)) => outcome_unknown(&err),
         }
     }
 }
 
-/// Whether an error came before a byte of the request was written.
-fn never_connected(err: &ureq::Transport) -> bool {
+/// Whether an error occurred before any byte of the request was sent.
+fn failed_before_send(err: &ureq::Transport) -> bool {
     matches!(
         err.kind(),
         ureq::ErrorKind::ConnectionFailed | ureq::ErrorKind::Dns | ureq::ErrorKind::InvalidUrl
     )
 }
 
-/// Reads the whole answer.
-fn read_answer(response: ureq::Response) -> CallEvent {
+/// Reads the whole response.
+fn read_response(response: ureq::Response) -> CallEvent {
     let status = response.status();
     let mut body = Vec::new();
     let read = response
         .into_reader()
-        .take(MAX_ANSWER_BYTES + 1)
+        .take(MAX_RESPONSE_BYTES + 1)
         .read_to_end(&mut body);
     match read {
-        Ok(_) if body.len() as u64 > MAX_ANSWER_BYTES => CallEvent::Failed(Error::new(
+        Ok(_) if body.len() as u64 > MAX_RESPONSE_BYTES => CallEvent::Failed(Error::new(
             ErrorKind::UpstreamError,
-            format!("the answer is over {MAX_ANSWER_BYTES} bytes"),
+            format!("the response is over {MAX_RESPONSE_BYTES} bytes"),
         )),
         Ok(_) => CallEvent::Body {
             status,
             body: body.into(),
         },
-        Err(err) => lost(&err),
+        Err(err) => outcome_unknown(&err),
     }
 }
 
-/// The request was sent, and its answer did not come.
-fn lost(err: &impl std::fmt::Display) -> CallEvent {
+/// Creates the event for a request that was sent, but whose response was not
+/// received: whether the request ran is unknown.
+fn outcome_unknown(err: &impl std::fmt::Display) -> CallEvent {
     CallEvent::Failed(Error::new(
         ErrorKind::OutcomeUnknown,
-        format!("service: {err}"),
+        format!("no response from the service: {err}"),
     ))
 }
