--- a/crates/sapphirequayd/src/version/mod.rs
+++ b/crates/sapphirequayd/src/version/mod.rs
@@ -1,4 +1,4 @@
-//! What lives for one version of the configuration.
+//! State that belongs to one version of the configuration.
 
 mod current_rules;
 mod rules;
--- a/crates/sapphirequayd/src/version/rules.rs
+++ b/crates/sapphirequayd/src/version/rules.rs
@@ -1,4 +1,5 @@
-//! The rules in force: who may call, and what must not run.
+//! Rules of one configuration version: authentication, access to models, drained
+//! upstreams and quarantined content.
 
 use {
     quay_config::{Config, Image, Subscriber},
@@ -9,17 +10,17 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// Path of a service's requests: callers name the service only.
+/// Path of all requests to a service, since callers give the service's name only.
 const ANY_PATH: &str = "/";
 
-/// Rules that one index of the configuration sets.
+/// Rules of the configuration at one index.
 #[derive(Debug)]
 pub struct Rules {
-    /// The checked document; `None` before the first.
+    /// Validated document; `None` before the first document.
     config: Option<Arc<Config>>,
-    /// Sections and marks.
+    /// Sections of the document, drain marks and quarantine marks.
     image: Image,
-    /// Why nothing newer is in force; empty while all is well.
+    /// Reason why no newer version is in force; empty if there is none.
     blocked_reason: Box<str>,
 }
 
@@ -30,7 +31,7 @@
 }
 
 impl Rules {
-    /// The rules that a subscriber holds.
+    /// Creates the rules from the configuration of a subscriber.
     #[must_use]
     pub fn from_subscriber(subscriber: &Subscriber) -> Self {
         Self {
@@ -40,30 +41,27 @@
         }
     }
 
-    /// Index that these rules are of; 0 before the first document.
+    /// Returns the configuration index of these rules; 0 before the first document.
     #[must_use]
     pub const fn index(&self) -> ConfigIndex {
         self.image.index
     }
 
-    /// The checked document; `None` before the first.
+    /// Returns the validated document; `None` before the first document.
     #[must_use]
     pub fn config(&self) -> Option<&Config> {
         self.config.as_deref()
     }
 
-    /// The account of a bearer key.
+    /// Finds the account of a bearer key.
     ///
     /// # Errors
     ///
     /// [`ErrorKind::Unauthorized`] if no account has the key;
-    /// [`ErrorKind::ConfigStale`] before the first document, with the reason.
+    /// [`ErrorKind::ConfigStale`], with the reason, before the first document.
     pub fn authenticate(&self, key: &str) -> Result<AccountId> {
         let Some(config) = &self.config else {
-            let message = format!(
-                "no configuration is in force here yet: {}",
-                self.blocked_reason
-            );
+            let message = format!("no configuration is in force yet: {}", self.blocked_reason);
             return Err(Error::new(ErrorKind::ConfigStale, message));
         };
         config.account_of(key).ok_or_else(|| {
@@ -74,30 +72,30 @@
         })
     }
 
-    /// Whether an account may call the model of this name.
+    /// Checks that an account may call the model with this name.
     ///
     /// # Errors
     ///
     /// [`ErrorKind::UnknownModel`] if the document has no such model,
-    /// [`ErrorKind::Forbidden`] if the account is bound to others.
+    /// [`ErrorKind::Forbidden`] if the account is restricted to other models.
     pub fn check_model_access(&self, account: AccountId, model: &str) -> Result<()> {
         let id = ModelId::of(model);
         let Some(config) = &self.config else {
             return Ok(());
         };
         if !config.models.contains_key(&id) {
-            let message = format!("no model is called {model:?}");
+            let message = format!("unknown model {model:?}");
             return Err(Error::new(ErrorKind::UnknownModel, message));
         }
-        let bound = config.accounts.get(&account).map(|account| &account.models);
-        if bound.is_some_and(|models| !models.is_empty() && !models.contains(&id)) {
+        let allowed = config.accounts.get(&account).map(|account| &account.models);
+        if allowed.is_some_and(|models| !models.is_empty() && !models.contains(&id)) {
             let message = format!("the account may not call model {model:?}");
             return Err(Error::new(ErrorKind::Forbidden, message));
         }
         Ok(())
     }
 
-    /// Most that a program of an account may ask for.
+    /// Returns the maximum limits of a program of an account.
     #[must_use]
     pub fn program_limits(&self, account: AccountId) -> ProgramLimits {
         let config = self.config.as_ref();
@@ -105,19 +103,19 @@
         account.map_or_else(ProgramLimits::default, |account| account.limits)
     }
 
-    /// Whether an operator has marked an upstream to leave.
+    /// Whether an operator has drained an upstream.
     #[must_use]
     pub fn is_drained(&self, upstream: &str) -> bool {
         self.image.drained.contains_key(upstream)
     }
 
-    /// Upstreams that are marked to leave.
+    /// Returns the drained upstreams.
     pub fn drained_upstreams(&self) -> impl Iterator<Item = UpstreamId> {
         self.image.drained.keys().map(|name| UpstreamId::of(name))
     }
 
-    /// Whether requests to a service may be repeated, for all that the
-    /// document says of it.
+    /// Whether requests to a service may be repeated; `true` unless the document
+    /// states otherwise.
     #[must_use]
     pub fn is_repeatable(&self, service: ServiceId) -> bool {
         let config = self.config.as_ref();
@@ -125,11 +123,12 @@
         service.is_none_or(|service| service.repeatable(ANY_PATH))
     }
 
-    /// Whether content may run at a time in milliseconds since the epoch.
+    /// Checks that content is not quarantined at `now_ms`, in milliseconds since the
+    /// Unix epoch.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Quarantined`] until its mark lapses or is cleared.
+    /// [`ErrorKind::Quarantined`] until the quarantine mark expires or is cleared.
     pub fn check_quarantine(&self, digest: ContentDigest, now_ms: u64) -> Result<()> {
         let until_ms = self
             .image
@@ -138,9 +137,9 @@
             .map(|mark| mark.until_ms);
         match until_ms {
             Some(until_ms) if until_ms > now_ms => {
-                let message = format!("upstreams crashed while they ran content {digest}");
-                let left = Duration::from_millis(until_ms - now_ms);
-                Err(Error::new(ErrorKind::Quarantined, message).with_retry_after(left))
+                let message = format!("upstreams crashed while running content {digest}");
+                let remaining = Duration::from_millis(until_ms - now_ms);
+                Err(Error::new(ErrorKind::Quarantined, message).with_retry_after(remaining))
             }
             _ => Ok(()),
         }
