--- a/crates/sapphirequayd/src/settings/check.rs
+++ b/crates/sapphirequayd/src/settings/check.rs
@@ -1,4 +1,4 @@
-//! Checks settings as a whole, beyond the form of each key.
+//! Validation of settings beyond the syntax and type of each key.
 
 use {
     crate::settings::{Problem, Settings, SidecarSettings},
@@ -7,7 +7,7 @@
 };
 
 impl Settings {
-    /// Everything that is wrong with well-formed settings.
+    /// Returns all problems of settings that were parsed successfully.
     #[must_use]
     pub fn check(&self) -> Vec<Problem> {
         let mut problems = Vec::new();
@@ -22,7 +22,7 @@
         problems
     }
 
-    /// The role whose certificate the process shows.
+    /// Returns the role whose certificate the process presents on links.
     #[must_use]
     pub const fn link_role(&self) -> LinkRole {
         match (&self.entry, &self.sidecar, &self.front) {
@@ -32,21 +32,21 @@
         }
     }
 
-    /// Name, roles and who keeps the directory.
+    /// Checks the name, the roles and the addresses of the ledger hosts.
     fn check_process(&self, problems: &mut Vec<Problem>) {
         if self.process.name.is_empty() {
-            problems.push(Problem::new("process", "name", "it is empty"));
+            problems.push(Problem::new("process", "name", "must not be empty"));
         }
-        let calls = self.entry.is_some() || self.sidecar.is_some() || self.ledger.is_some();
+        let has_call_role = self.entry.is_some() || self.sidecar.is_some() || self.ledger.is_some();
         if self.is_gateway() {
-            self.check_gateway(calls, problems);
-        } else if !calls {
-            let message = "no role: one of the tables [entry], [sidecar], [ledger], [front], [control] and [store] is needed";
+            self.check_gateway(has_call_role, problems);
+        } else if !has_call_role {
+            let message = "no role: one of the tables [entry], [sidecar], [ledger], [front], [control] and [store] is required";
             problems.push(Problem::new("", "", message));
         }
-        let reads_ledger = self.entry.is_some() || self.sidecar.is_some();
-        if reads_ledger && self.link.ledgers.is_empty() {
-            let message = "entries and sidecars need at least one address";
+        let needs_ledger = self.entry.is_some() || self.sidecar.is_some();
+        if needs_ledger && self.link.ledgers.is_empty() {
+            let message = "entries and sidecars require at least one address";
             problems.push(Problem::new("link", "ledgers", message));
         }
     }
@@ -57,62 +57,63 @@
         self.front.is_some() || self.control.is_some() || self.store.is_some()
     }
 
-    /// A gateway's process has one role and knows where to find the others.
-    fn check_gateway(&self, calls: bool, problems: &mut Vec<Problem>) {
+    /// Checks that a process of a gateway has a single role and seeds to find the
+    /// others.
+    fn check_gateway(&self, has_call_role: bool, problems: &mut Vec<Problem>) {
         let roles = [
             self.front.is_some(),
             self.control.is_some(),
             self.store.is_some(),
-            calls,
+            has_call_role,
         ];
         if roles.iter().filter(|has| **has).count() > 1 {
-            let message = "[front], [control] and [store] each need a process of their own";
+            let message = "[front], [control] and [store] can't be combined with each other or with other roles";
             problems.push(Problem::new("", "", message));
         }
         match &self.gateway {
             Some(seeds) => problems.extend(seeds.check().err()),
-            None => problems.push(Problem::new("gateway", "seeds", "the table is needed")),
+            None => problems.push(Problem::new("gateway", "seeds", "the table is required")),
         }
     }
 
-    /// Every address that this process listens on, with its table and key.
-    fn listens(&self) -> Vec<(&'static str, &'static str, SocketAddr)> {
-        let mut listens = vec![("link", "listen", self.link.listen)];
+    /// Returns all listen addresses of the process, each with its table and key.
+    fn listeners(&self) -> Vec<(&'static str, &'static str, SocketAddr)> {
+        let mut listeners = vec![("link", "listen", self.link.listen)];
         if let Some(entry) = &self.entry {
-            listens.push(("entry", "listen", entry.listen));
+            listeners.push(("entry", "listen", entry.listen));
         }
         if let Some(front) = &self.front {
-            listens.push(("front", "listen", front.listen));
-            listens.push(("front", "ready", front.ready));
+            listeners.push(("front", "listen", front.listen));
+            listeners.push(("front", "ready", front.ready));
         }
         if let Some(control) = &self.control {
-            listens.push(("control", "listen", control.listen));
+            listeners.push(("control", "listen", control.listen));
         }
         if let Some(monitor) = self.process.monitor {
-            listens.push(("process", "monitor", monitor));
+            listeners.push(("process", "monitor", monitor));
         }
-        listens
+        listeners
     }
 
-    /// No two listeners share a port, and none is the upstream's.
+    /// Checks that no two listeners share an address, also not with the upstream.
     fn check_ports(&self, problems: &mut Vec<Problem>) {
-        let listens = self.listens();
-        for (place, (section, key, addr)) in listens.iter().enumerate() {
-            let earlier = listens[..place].iter();
-            let mut clash = earlier.filter(|(_, _, other)| overlaps(*addr, *other));
-            if let Some((other, other_key, _)) = clash.next() {
-                let message = format!("{addr} is also the address of [{other}] {other_key}");
+        let listeners = self.listeners();
+        for (position, (section, key, addr)) in listeners.iter().enumerate() {
+            let earlier = listeners[..position].iter();
+            let mut conflicts = earlier.filter(|(_, _, other)| conflict(*addr, *other));
+            if let Some((other, other_key, _)) = conflicts.next() {
+                let message = format!("{addr} conflicts with the address of [{other}] {other_key}");
                 problems.push(Problem::new(section, key, message));
             }
             let upstream = self.sidecar.as_ref().map(|sidecar| sidecar.addr);
-            if upstream.is_some_and(|upstream| overlaps(*addr, upstream)) {
-                let message = format!("{addr} is also the upstream's address");
+            if upstream.is_some_and(|upstream| conflict(*addr, upstream)) {
+                let message = format!("{addr} conflicts with the upstream's address");
                 problems.push(Problem::new(section, key, message));
             }
         }
     }
 
-    /// The key files can be read and fit each other's form.
+    /// Checks that the key files can be loaded.
     fn check_keys(&self, problems: &mut Vec<Problem>) {
         let files = KeyFiles::for_role(&self.link.keys, self.link_role());
         if let Err(err) = files.load() {
@@ -120,7 +121,7 @@
         }
     }
 
-    /// The first configuration document can be read.
+    /// Checks the ledger role and that the initial document can be read.
     fn check_ledger(&self, problems: &mut Vec<Problem>) {
         let Some(ledger) = &self.ledger else { return };
         problems.extend(ledger.check().err());
@@ -129,7 +130,7 @@
         }
     }
 
-    /// The limits of the callers' interface leave room for work.
+    /// Checks that no limit of the entry role is 0.
     fn check_entry(&self, problems: &mut Vec<Problem>) {
         let Some(entry) = &self.entry else { return };
         let limits = [
@@ -139,38 +140,40 @@
             ("send_timeout_ms", entry.send_timeout_ms),
         ];
         for (key, _) in limits.into_iter().filter(|(_, limit)| *limit == 0) {
-            problems.push(Problem::new("entry", key, "it must be positive"));
+            problems.push(Problem::new("entry", key, "must be positive"));
         }
     }
 }
 
-/// The upstream is one thing and can be called.
+/// Checks that the upstream is either a model engine or a service, and has a
+/// usable address.
 fn check_sidecar(sidecar: &SidecarSettings, problems: &mut Vec<Problem>) {
     if sidecar.upstream.is_empty() {
-        problems.push(Problem::new("sidecar", "upstream", "it is empty"));
+        problems.push(Problem::new("sidecar", "upstream", "must not be empty"));
     }
     if sidecar.concurrency == 0 {
-        let message = "it must be positive";
+        let message = "must be positive";
         problems.push(Problem::new("sidecar", "concurrency", message));
     }
     if sidecar.addr.port() == 0 {
-        problems.push(Problem::new("sidecar", "addr", "the port is 0"));
+        problems.push(Problem::new("sidecar", "addr", "the port must not be 0"));
     }
     match (&sidecar.service, sidecar.models.is_empty()) {
         (Some(_), false) => {
-            let message = "an upstream has models or is a service, not both";
+            let message = "an upstream can't have both models and a service";
             problems.push(Problem::new("sidecar", "service", message));
         }
         (None, true) => {
-            let message = "an upstream without models needs the name of its service";
+            let message = "an upstream without models requires the name of its service";
             problems.push(Problem::new("sidecar", "models", message));
         }
         _ => {}
     }
 }
 
-/// Whether two listeners would be on one port. Port 0 is the system's choice.
-fn overlaps(a: SocketAddr, b: SocketAddr) -> bool {
+/// Whether two listen addresses conflict. Port 0 never does, since the operating
+/// system assigns a free port.
+fn conflict(a: SocketAddr, b: SocketAddr) -> bool {
     let same_host = a.ip() == b.ip() || a.ip().is_unspecified() || b.ip().is_unspecified();
     a.port() == b.port() && a.port() != 0 && same_host
 }
--- a/crates/sapphirequayd/src/settings/entry.rs
+++ b/crates/sapphirequayd/src/settings/entry.rs
@@ -1,24 +1,26 @@
-//! The entry role.
+//! Settings of the entry role.
 
 use {
     serde::Deserialize,
     std::{net::SocketAddr, time::Duration},
 };
 
-/// The entry role.
+/// Settings of the entry role.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EntrySettings {
-    /// TCP address for callers.
+    /// TCP listen address for callers.
     pub listen: SocketAddr,
-    /// Requests in progress at most; more are refused as not run.
+    /// Maximum number of requests in progress; further requests are refused as not
+    /// run.
     pub max_requests: u32,
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: u64,
-    /// A caller that sends nothing for so long while it owes bytes, or whose
-    /// connection is idle, is given up; in milliseconds.
+    /// Time without received bytes after which a connection is closed, within a
+    /// request or idle, in milliseconds.
     pub read_timeout_ms: u64,
-    /// A caller that reads nothing for so long is given up, in milliseconds.
+    /// Time after which a connection is closed if the caller reads nothing, in
+    /// milliseconds.
     pub send_timeout_ms: u64,
 }
 
--- a/crates/sapphirequayd/src/settings/gateway.rs
+++ b/crates/sapphirequayd/src/settings/gateway.rs
@@ -1,4 +1,4 @@
-//! The roles of a gateway: fronts, control hosts and store hosts.
+//! Settings of a gateway's roles: fronts, control hosts and store hosts.
 
 use {
     crate::settings::Problem,
@@ -6,17 +6,17 @@
     std::{net::SocketAddr, path::PathBuf},
 };
 
-/// What every role of a gateway needs to find the others.
+/// Settings shared by all roles of a gateway.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct GatewaySettings {
-    /// Some control hosts.
+    /// Addresses of some control hosts, from which the others are discovered.
     pub seeds: Vec<SocketAddr>,
-    /// Port of the links of all control hosts; 0 if `seeds` name it.
+    /// Link port of all control hosts; 0 uses the ports in `seeds`.
     pub link_port: u16,
     /// Whether the whole system starts for the first time, with empty disks.
     pub first_start: bool,
-    /// Hosts with disks that may be lost at the same time.
+    /// Number of hosts with disks that may be lost at the same time.
     pub losses: usize,
 }
 
@@ -32,7 +32,7 @@
 }
 
 impl GatewaySettings {
-    /// Link addresses of the seeds.
+    /// Returns the link addresses of the seeds.
     #[must_use]
     pub fn links(&self) -> Vec<SocketAddr> {
         let port = |addr: &SocketAddr| match self.link_port {
@@ -43,60 +43,63 @@
         links.collect()
     }
 
-    /// Checks that the settings can be used.
+    /// Checks the settings.
     ///
     /// # Errors
     ///
-    /// Names the key and what is wrong with it.
+    /// Returns the problem and its key.
     pub fn check(&self) -> Result<(), Problem> {
         if self.seeds.is_empty() {
-            let message = "at least one address is needed";
+            let message = "at least one address is required";
             return Err(Problem::new("gateway", "seeds", message));
         }
         Ok(())
     }
 }
 
-/// A front: takes callers' requests and passes them on to upstreams.
+/// Settings of a front, which forwards callers' requests to upstreams.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FrontSettings {
-    /// TCP address for callers.
+    /// TCP listen address for callers.
     pub listen: SocketAddr,
-    /// TCP address that tells whether the host takes callers.
+    /// TCP listen address for readiness checks: whether the host accepts callers.
     pub ready: SocketAddr,
-    /// Bytes of kept turns that are held in memory.
+    /// Size of the in-memory cache of stored turns, in bytes.
     #[serde(default = "chain_cache_bytes")]
     pub chain_cache_bytes: usize,
 }
 
-/// An eighth of the smallest front in the deployments' tables (110 MB).
+/// Default of [`FrontSettings::chain_cache_bytes`]: an eighth of the memory of the
+/// smallest front in the deployments' tables (110 MB).
 const fn chain_cache_bytes() -> usize {
     14 << 20
 }
 
-/// A control host: routing table, directory of upstreams, members of the stores.
+/// Settings of a control host, which manages the routing table, the directory of
+/// upstreams and the members of the stores.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControlSettings {
-    /// TCP address for operators and upstreams.
+    /// TCP listen address for operators and upstreams.
     pub listen: SocketAddr,
-    /// Folder of all that must survive.
+    /// Data folder, whose content must survive restarts.
     pub data: PathBuf,
 }
 
-/// A store host: kept turns and charges.
+/// Settings of a store host, which stores turns and charges.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StoreSettings {
-    /// Folder of all that must survive.
+    /// Data folder, whose content must survive restarts.
     pub data: PathBuf,
-    /// Bytes after which a file of the store is closed.
+    /// Size at which a file of the store is closed, in bytes.
     #[serde(default = "segment_bytes")]
     pub segment_bytes: u64,
 }
 
-/// A few seconds of turns, so that expired files go soon.
+/// Default of [`StoreSettings::segment_bytes`]: a few seconds of turns, so that
+/// files can be removed soon after their records expire.
 const fn segment_bytes() -> u64 {
     8 << 20
 }
--- a/crates/sapphirequayd/src/settings/ledger.rs
+++ b/crates/sapphirequayd/src/settings/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger role.
+//! Settings of the ledger role.
 
 use {
     crate::settings::Problem,
@@ -6,27 +6,30 @@
     std::{collections::BTreeSet, fs, io, net::SocketAddr, path::PathBuf},
 };
 
-/// The ledger role.
+/// Settings of the ledger role.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LedgerSettings {
-    /// Folder of all that must survive; without one it lives in memory.
+    /// Data folder, whose content must survive restarts; `None` keeps all data in
+    /// memory.
     pub data: Option<PathBuf>,
-    /// Groups that programs are spread over, beside the control group.
+    /// Number of groups that programs are distributed over, excluding the control
+    /// group.
     pub groups: u16,
-    /// Identity of this host in a group that it starts; 0 leaves it to the data
-    /// folder.
+    /// Node id of this host in the groups that it bootstraps; 0 uses the id stored
+    /// in the data folder.
     pub node: u64,
-    /// Whether a new data folder starts a group of `peers`. To be taken out
-    /// after the first start: a host that lost its disk must not come back as
-    /// its old self.
+    /// Whether a host with a new data folder bootstraps the groups with `peers`.
+    /// Must be removed after the first start: a host that lost its disk must not
+    /// rejoin with its old identity.
     pub bootstrap: bool,
-    /// First members of the groups, this host included; the same on each.
+    /// Initial members of the groups, including this host; the same on every host.
     pub peers: Vec<PeerSettings>,
-    /// File of the first configuration document, for a new control group. A
-    /// group that has a document takes no notice of it.
+    /// File with the initial configuration document of a new control group;
+    /// ignored by a group that already has a document.
     pub document: Option<PathBuf>,
-    /// Text of the first document, where another program runs the daemon.
+    /// Text of the initial document, for programs that embed the daemon; takes
+    /// precedence over `document`.
     #[serde(skip)]
     pub document_text: Option<Box<str>>,
 }
@@ -45,52 +48,52 @@
     }
 }
 
-/// A member of the groups that are started.
+/// Initial member of the groups.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerSettings {
-    /// Its identity, from 1.
+    /// Node id, from 1.
     pub node: u64,
-    /// UDP address of its links.
+    /// UDP address for links to the member.
     pub addr: SocketAddr,
-    /// Data centre of its host.
+    /// Data centre of the member's host.
     #[serde(default)]
     pub data_centre: Box<str>,
 }
 
 impl LedgerSettings {
-    /// Checks that the settings fit each other.
+    /// Checks that the settings are consistent.
     ///
     /// # Errors
     ///
-    /// Names the key and what is wrong with it.
+    /// Returns the problem and its key.
     pub fn check(&self) -> Result<(), Problem> {
         let problem = |key, message: &str| Err(Problem::new("ledger", key, message));
         if self.groups == 0 {
-            return problem("groups", "it is 0, but at least one group is needed");
+            return problem("groups", "must be at least 1");
         }
         let mut nodes = BTreeSet::new();
         for peer in &self.peers {
             if peer.node == 0 {
-                return problem("peers", "node = 0 is no identity");
+                return problem("peers", "node must not be 0");
             }
             if !nodes.insert(peer.node) {
-                return problem("peers", &format!("node = {} is there twice", peer.node));
+                return problem("peers", &format!("duplicate node = {}", peer.node));
             }
         }
         if !self.bootstrap {
             return Ok(());
         }
         if self.data.is_none() {
-            return problem("bootstrap", "it needs a data folder");
+            return problem("bootstrap", "requires a data folder");
         }
         if !nodes.contains(&self.node) {
-            return problem("node", &format!("{} is not among the peers", self.node));
+            return problem("node", &format!("{} is not one of the peers", self.node));
         }
         Ok(())
     }
 
-    /// The text of the first document, if the settings name one.
+    /// Returns the text of the initial document, if the settings contain one.
     ///
     /// # Errors
     ///
--- a/crates/sapphirequayd/src/settings/link.rs
+++ b/crates/sapphirequayd/src/settings/link.rs
@@ -1,19 +1,19 @@
-//! Links to other processes.
+//! Settings of links to other processes.
 
 use {
     serde::Deserialize,
     std::{net::SocketAddr, path::PathBuf},
 };
 
-/// Links to other processes.
+/// Settings of links to other processes (TOML table `[link]`).
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LinkTableSettings {
-    /// UDP address that this process accepts links on.
+    /// UDP listen address for links from other processes.
     pub listen: SocketAddr,
-    /// Folder of `root.pem`, `ROLE.pem` and `ROLE.key.pem`.
+    /// Folder with `root.pem`, `ROLE.pem` and `ROLE.key.pem`.
     pub keys: PathBuf,
-    /// Addresses of the hosts that keep the directory and the ledger.
+    /// Link addresses of the hosts of the directory and the ledger.
     pub ledgers: Vec<SocketAddr>,
 }
 
--- a/crates/sapphirequayd/src/settings/log.rs
+++ b/crates/sapphirequayd/src/settings/log.rs
@@ -1,18 +1,20 @@
-//! Where log lines go.
+//! Settings of logging.
 
 use {serde::Deserialize, std::path::PathBuf};
 
-/// Where log lines go.
+/// Settings of logging.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// Least severe level that is written.
+    /// Least severe level that is logged.
     pub level: LogLevel,
-    /// File to append to; the console if there is none.
+    /// File to append to; `None` writes to standard output.
     pub file: Option<PathBuf>,
-    /// Lines of one event in a second; further ones are counted.
+    /// Maximum number of lines of one event per second; further lines are dropped
+    /// and counted.
     pub lines_per_event_s: u32,
-    /// Lines that wait for an output that is slow; further ones are counted.
+    /// Maximum number of lines queued for a slow output; further lines are dropped
+    /// and counted.
     pub waiting_lines: usize,
 }
 
@@ -21,9 +23,10 @@
         Self {
             level: LogLevel::Info,
             file: None,
-            // Twice what a front of the deployments' tables answers in a burst.
+            // Twice the number of requests that a front of the deployments'
+            // tables serves in a burst.
             lines_per_event_s: 500,
-            // Some seconds of them; 2 MB at most.
+            // A few seconds of such lines, and at most 2 MB.
             waiting_lines: 8_192,
         }
     }
@@ -33,12 +36,12 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogLevel {
-    /// Something is lost or does not work.
+    /// Data was lost, or a function is unavailable.
     Error,
-    /// Something failed and is dealt with.
+    /// A failure that the process recovers from.
     Warn,
-    /// One line for each request and change.
+    /// One line for each request and each change of state.
     Info,
-    /// Details for developers.
+    /// Details for development.
     Debug,
 }
--- a/crates/sapphirequayd/src/settings/mod.rs
+++ b/crates/sapphirequayd/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of one process, read from TOML.
+//! Settings of one process, parsed from TOML.
 
 mod check;
 mod entry;
@@ -31,53 +31,53 @@
     },
 };
 
-/// Settings of one process. A role runs if its table is present.
+/// Settings of one process. A role is enabled if its table is present.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The process itself.
+    /// Name and location of the process.
     pub process: ProcessSettings,
-    /// Where log lines go.
+    /// Log level, output and rate limits.
     #[serde(default)]
     pub log: LogSettings,
     /// Links to other processes.
     #[serde(default)]
     pub link: LinkTableSettings,
-    /// The entry role.
+    /// Entry role.
     pub entry: Option<EntrySettings>,
-    /// The sidecar role.
+    /// Sidecar role.
     pub sidecar: Option<SidecarSettings>,
-    /// The ledger role.
+    /// Ledger role.
     pub ledger: Option<LedgerSettings>,
-    /// How the roles of a gateway find each other.
+    /// Discovery and first start of the roles of a gateway.
     pub gateway: Option<GatewaySettings>,
-    /// The front role of a gateway.
+    /// Front role of a gateway.
     pub front: Option<FrontSettings>,
-    /// The control role of a gateway.
+    /// Control role of a gateway.
     pub control: Option<ControlSettings>,
-    /// The store role of a gateway.
+    /// Store role of a gateway.
     pub store: Option<StoreSettings>,
-    /// Knobs of the policy.
+    /// Parameters of routing, admission, retries and KV caches.
     #[serde(default)]
     pub policy: PolicyTable,
 }
 
-/// Why settings can't be used.
+/// Error from loading settings.
 #[derive(Debug)]
 pub enum SettingsError {
     /// The file can't be read.
     Io(PathBuf, io::Error),
-    /// The file's content can't be used.
-    Unusable(PathBuf, Vec<Problem>),
+    /// The file's content is invalid.
+    Invalid(PathBuf, Vec<Problem>),
 }
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Io(path, err) => write!(f, "{}: {err}", path.display()),
-            Self::Unusable(path, problems) => {
-                for (place, problem) in problems.iter().enumerate() {
-                    let separator = if place == 0 { "" } else { "\n" };
+            Self::Invalid(path, problems) => {
+                for (position, problem) in problems.iter().enumerate() {
+                    let separator = if position == 0 { "" } else { "\n" };
                     write!(f, "{separator}{}: {problem}", path.display())?;
                 }
                 Ok(())
@@ -88,34 +88,34 @@
 
 impl std::error::Error for SettingsError {}
 
-/// Settings with every key and its default, for people.
+/// Commented settings file with every key and its default.
 pub const DEFAULT_SETTINGS: &str = include_str!("default.toml");
 
 impl Settings {
-    /// Reads settings from text.
+    /// Parses settings.
     ///
     /// # Errors
     ///
-    /// The first [`Problem`] names table and key.
+    /// Returns the first [`Problem`], with its table and key.
     pub fn parse(text: &str) -> Result<Self, Problem> {
-        toml::from_str(text).map_err(|err| Problem::of_toml(text, &err))
+        toml::from_str(text).map_err(|err| Problem::from_toml_error(text, &err))
     }
 
-    /// Reads settings from a file and checks them as a whole.
+    /// Loads settings from a file, including the checks across keys.
     ///
     /// # Errors
     ///
-    /// [`SettingsError::Unusable`] names every problem, [`SettingsError::Io`]
-    /// says why the file can't be read.
+    /// [`SettingsError::Io`] if the file can't be read, [`SettingsError::Invalid`]
+    /// with all problems found in it.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         let text = fs::read_to_string(path).map_err(|err| SettingsError::Io(path.into(), err))?;
-        let unusable = |problems| SettingsError::Unusable(path.into(), problems);
-        let settings = Self::parse(&text).map_err(|problem| unusable(vec![problem]))?;
+        let invalid = |problems| SettingsError::Invalid(path.into(), problems);
+        let settings = Self::parse(&text).map_err(|problem| invalid(vec![problem]))?;
         let problems = settings.check();
         if problems.is_empty() {
             Ok(settings)
         } else {
-            Err(unusable(problems))
+            Err(invalid(problems))
         }
     }
 }
--- a/crates/sapphirequayd/src/settings/policy.rs
+++ b/crates/sapphirequayd/src/settings/policy.rs
@@ -1,4 +1,4 @@
-//! Knobs of the policy.
+//! Settings of routing, admission, retries and KV caches.
 
 use {
     quay_policy::{AdmissionSettings, RetrySettings, RouteSettings},
@@ -6,26 +6,26 @@
     std::time::Duration,
 };
 
-/// Knobs of the policy.
+/// TOML table `[policy]`.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PolicyTable {
-    /// Choice of upstream, on entries.
+    /// Selection of the upstream, on entries.
     pub route: RouteTable,
-    /// Queue before the upstream, on sidecars.
+    /// Admission queue of the upstream, on sidecars.
     pub admit: AdmitTable,
-    /// Retries after a lost upstream, on entries.
+    /// Retries after the loss of an upstream, on entries.
     pub retry: RetryTable,
-    /// Memory of engines, on sidecars.
+    /// KV cache of the engine, on sidecars.
     pub kv: KvTable,
 }
 
-/// Knobs of what engines keep for programs.
+/// TOML table `[policy.kv]`: retention of programs' blocks in the engine's KV cache.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct KvTable {
-    /// Interval at which the ledger is asked which idle programs have ended, in
-    /// milliseconds.
+    /// Interval at which the ledger is queried for idle programs that have ended,
+    /// in milliseconds.
     pub sweep_ms: u64,
 }
 
@@ -36,14 +36,14 @@
 }
 
 impl KvTable {
-    /// The interval of sweeps.
+    /// [`Self::sweep_ms`] as a duration.
     #[must_use]
     pub const fn sweep(&self) -> Duration {
         Duration::from_millis(self.sweep_ms)
     }
 }
 
-/// Knobs of [`RouteSettings`].
+/// TOML table `[policy.route]`: keys for [`RouteSettings`].
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RouteTable {
@@ -97,7 +97,7 @@
 }
 
 impl RouteTable {
-    /// The knobs as routing takes them.
+    /// Converts the table to the settings of routing.
     #[must_use]
     pub fn settings(&self) -> RouteSettings {
         RouteSettings {
@@ -119,7 +119,7 @@
     }
 }
 
-/// Knobs of [`AdmissionSettings`].
+/// TOML table `[policy.admit]`: keys for [`AdmissionSettings`].
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct AdmitTable {
@@ -164,7 +164,8 @@
 }
 
 impl AdmitTable {
-    /// The knobs as admission takes them, for at most `concurrency` calls.
+    /// Converts the table to the settings of admission, with `concurrency` as the
+    /// maximum number of running calls.
     #[must_use]
     pub fn settings(&self, concurrency: u32) -> AdmissionSettings {
         AdmissionSettings {
@@ -184,7 +185,7 @@
     }
 }
 
-/// Knobs of [`RetrySettings`].
+/// TOML table `[policy.retry]`: keys for [`RetrySettings`].
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RetryTable {
@@ -205,7 +206,7 @@
 }
 
 impl RetryTable {
-    /// The knobs as retry budgets take them.
+    /// Converts the table to the settings of retry budgets.
     #[must_use]
     pub const fn settings(&self) -> RetrySettings {
         RetrySettings {
@@ -215,7 +216,7 @@
     }
 }
 
-/// Whole milliseconds of a span.
-fn ms(span: Duration) -> u64 {
-    u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
+/// Converts a duration to whole milliseconds.
+fn ms(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/sapphirequayd/src/settings/problem.rs
+++ b/crates/sapphirequayd/src/settings/problem.rs
@@ -1,20 +1,20 @@
-//! What is wrong with settings, and where.
+//! A problem in settings, with its location.
 
 use std::fmt;
 
-/// One thing that is wrong with settings.
+/// A problem in settings, with its location.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problem {
-    /// Table that it is in; empty for the top level.
+    /// Table with the problem; empty for the top level.
     pub section: Box<str>,
-    /// Key that it is about; empty for the whole table.
+    /// Key with the problem; empty for the whole table.
     pub key: Box<str>,
-    /// What is wrong.
+    /// Description of the problem.
     pub message: Box<str>,
 }
 
 impl Problem {
-    /// A problem with `key` in `section`.
+    /// Creates a problem of `key` in `section`.
     #[must_use]
     pub fn new(section: &str, key: &str, message: impl Into<Box<str>>) -> Self {
         Self {
@@ -24,9 +24,9 @@
         }
     }
 
-    /// The problem that an error of the TOML library tells of.
+    /// Converts a TOML error, locating its table and key in `text`.
     #[must_use]
-    pub fn of_toml(text: &str, err: &toml::de::Error) -> Self {
+    pub fn from_toml_error(text: &str, err: &toml::de::Error) -> Self {
         let start = err.span().map_or(0, |span| span.start);
         let (section, key) = locate(text, start);
         let message = err.message().replace('\n', "; ");
@@ -36,32 +36,32 @@
 
 impl fmt::Display for Problem {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let place = match (&*self.section, &*self.key) {
+        let location = match (&*self.section, &*self.key) {
             ("", "") => String::new(),
             ("", key) => format!("{key}: "),
             (section, "") => format!("[{section}]: "),
             (section, key) => format!("[{section}] {key}: "),
         };
-        write!(f, "{place}{}", self.message)
+        write!(f, "{location}{}", self.message)
     }
 }
 
-/// The table and the key around a position in a TOML text.
+/// Finds the table and the key at a byte position in a TOML text.
 fn locate(text: &str, position: usize) -> (&str, &str) {
     let mut section = "";
-    let mut at = 0;
+    let mut line_start = 0;
     for line in text.split_inclusive('\n') {
-        let next = at + line.len();
+        let line_end = line_start + line.len();
         let trimmed = line.trim();
         if trimmed.starts_with('[') {
             section = trimmed.trim_matches(['[', ']']);
         }
-        if position < next {
+        if position < line_end {
             let key = trimmed.split('=').next().unwrap_or_default().trim();
             let key = if trimmed.contains('=') { key } else { "" };
             return (section, key);
         }
-        at = next;
+        line_start = line_end;
     }
     (section, "")
 }
--- a/crates/sapphirequayd/src/settings/process.rs
+++ b/crates/sapphirequayd/src/settings/process.rs
@@ -1,21 +1,22 @@
-//! Name and place of the process.
+//! Settings of the process itself.
 
 use {
     serde::Deserialize,
     std::{net::SocketAddr, time::Duration},
 };
 
-/// Name and place of the process.
+/// Settings of the process itself.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ProcessSettings {
-    /// Name in logs and audit records.
+    /// Name of the process in logs and audit records.
     pub name: Box<str>,
-    /// Data centre that the host is in.
+    /// Data centre of the host.
     pub data_centre: Box<str>,
-    /// Longest wait for requests in progress at shutdown, in seconds.
+    /// Maximum time to wait for requests in progress at shutdown, in seconds.
     pub grace_s: u64,
-    /// TCP address of `/metrics` and `/healthz`, beside those that an entry has.
+    /// TCP listen address of `/metrics` and `/healthz`, in addition to those that an
+    /// entry serves to callers.
     pub monitor: Option<SocketAddr>,
 }
 
