--- a/crates/sapphirequayd/src/lib.rs
+++ b/crates/sapphirequayd/src/lib.rs
@@ -1,8 +1,9 @@
-//! The sapphirequay daemon as a library: every role that one process can play.
+//! Library of the sapphirequayd daemon: all roles that a process can have.
 //!
-//! [`Settings`] say which roles run; [`Daemon::start`] starts them. Modules are
-//! laid out by how long their values live: `request` for one call, `connection`
-//! for one peer, `version` for one configuration, `process` for one run.
+//! [`Settings`] select the roles. [`Daemon::start`] starts them; [`run_gateway`]
+//! runs a role of a gateway. Modules are organised by the lifetime of their
+//! values: `request` for a call, `connection` for an HTTP connection, `version`
+//! for a configuration version, `process` for the whole process.
 //!
 //! ```
 //! use sapphirequayd::Settings;
--- a/crates/sapphirequayd/src/logging.rs
+++ b/crates/sapphirequayd/src/logging.rs
@@ -1,4 +1,4 @@
-//! Sets up log lines: a time, a level and key=value pairs.
+//! Logger set-up. A line has a time, a level and key=value pairs.
 
 use {
     log::{LevelFilter, Log, Metadata, Record},
@@ -11,13 +11,13 @@
     },
 };
 
-/// Form of one line.
+/// Format of a log line.
 const PATTERN: &str = "time={d(%Y-%m-%dT%H:%M:%S%.3f%:z)} level={l} {m}{n}";
 
-/// Room for a usual line, in bytes.
+/// Initial capacity of a line's buffer, in bytes.
 const LINE_BYTES: usize = 256;
 
-/// Starts to write log lines.
+/// Installs the logger.
 pub fn start(settings: &LogSettings) -> Result<(), Box<dyn Error>> {
     let out: Box<dyn Write + Send> = match &settings.file {
         Some(path) => {
@@ -26,26 +26,26 @@
         }
         None => Box::new(io::stdout()),
     };
-    let bounds = LogLimits {
+    let limits = LogLimits {
         lines_per_event_s: settings.lines_per_event_s,
         waiting_lines: settings.waiting_lines,
     };
     let logger = Logger {
         level: level(settings),
         encoder: PatternEncoder::new(PATTERN),
-        lines: LogWriter::start(out, bounds)?,
+        lines: LogWriter::start(out, limits)?,
     };
     log::set_max_level(logger.level);
     log::set_boxed_logger(Box::new(logger))?;
     Ok(())
 }
 
-/// Writes what is still waiting; for the end of the process.
+/// Writes all queued lines; called before the process exits.
 pub fn flush() {
     log::logger().flush();
 }
 
-/// The level that the settings name.
+/// Converts the level in the settings.
 const fn level(settings: &LogSettings) -> LevelFilter {
     match settings.level {
         LogLevel::Error => LevelFilter::Error,
@@ -55,7 +55,8 @@
     }
 }
 
-/// Encodes lines and hands them on; who logs never waits for the output.
+/// Logger that encodes lines and queues them for the writer thread, so that
+/// logging never blocks on the output.
 #[derive(Debug)]
 struct Logger {
     level: LevelFilter,
--- a/crates/sapphirequayd/src/main.rs
+++ b/crates/sapphirequayd/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon `sapphirequayd`.
+//! The `sapphirequayd` daemon.
 
 mod logging;
 mod shutdown;
@@ -8,20 +8,20 @@
     quay_link::KeyFiles,
     quay_platform::Platform,
     sapphirequayd::{DEFAULT_SETTINGS, Daemon, Settings, run_gateway},
-    shutdown::Ending,
+    shutdown::ShutdownOutcome,
     std::{
         path::{Path, PathBuf},
         process::ExitCode,
     },
 };
 
-/// Exit code for settings that can't be used.
-const BAD_SETTINGS: u8 = 2;
+/// Exit code for invalid settings and start-up errors.
+const EXIT_BAD_SETTINGS: u8 = 2;
 
-/// Exit code for a shutdown that cut requests off.
-const CUT: u8 = 3;
+/// Exit code for a shutdown that interrupted requests.
+const EXIT_INTERRUPTED: u8 = 3;
 
-/// Runs the roles that a settings file names.
+/// Runs the roles enabled in a settings file.
 #[derive(Debug, Options)]
 struct Args {
     /// Prints this help.
@@ -30,11 +30,11 @@
     /// Settings file.
     #[options(no_short, help = "settings file", meta = "FILE")]
     config: Option<PathBuf>,
-    /// Only checks the settings.
-    #[options(no_short, help = "check the settings and end")]
+    /// Checks the settings and exits.
+    #[options(no_short, help = "check the settings and exit")]
     check_config: bool,
-    /// Prints settings to start from.
-    #[options(no_short, help = "print every setting with its default and end")]
+    /// Prints the default settings and exits.
+    #[options(no_short, help = "print all settings with their defaults and exit")]
     print_default_config: bool,
 }
 
@@ -44,46 +44,49 @@
         print!("{DEFAULT_SETTINGS}");
         return ExitCode::SUCCESS;
     }
-    let settings = match read(&args) {
+    let settings = match load_settings(&args) {
         Ok(settings) => settings,
-        Err(text) => return fail(&text, BAD_SETTINGS),
+        Err(message) => return fail(&message, EXIT_BAD_SETTINGS),
     };
     if args.check_config {
-        println!("the settings can be used");
+        println!("the settings are valid");
         return ExitCode::SUCCESS;
     }
-    let ended = run(&settings, args.config.as_deref());
+    let outcome = run(&settings, args.config.as_deref());
     logging::flush();
-    match ended {
-        Ok(Ending::Whole) => ExitCode::SUCCESS,
-        Ok(Ending::Cut(requests)) => fail(&format!("{requests} requests were cut off"), CUT),
-        Err(text) => fail(&text, BAD_SETTINGS),
+    match outcome {
+        Ok(ShutdownOutcome::Completed) => ExitCode::SUCCESS,
+        Ok(ShutdownOutcome::Interrupted(requests)) => fail(
+            &format!("{requests} requests were cut off"),
+            EXIT_INTERRUPTED,
+        ),
+        Err(message) => fail(&message, EXIT_BAD_SETTINGS),
     }
 }
 
-/// Says why the process ends.
-fn fail(text: &str, code: u8) -> ExitCode {
-    for line in text.lines() {
+/// Prints an error message and returns the exit code.
+fn fail(message: &str, code: u8) -> ExitCode {
+    for line in message.lines() {
         eprintln!("sapphirequayd: {line}");
     }
     ExitCode::from(code)
 }
 
-/// Reads and checks the settings.
-fn read(args: &Args) -> Result<Settings, String> {
-    let path = args.config.as_ref().ok_or("--config FILE is needed")?;
+/// Loads and checks the settings.
+fn load_settings(args: &Args) -> Result<Settings, String> {
+    let path = args.config.as_ref().ok_or("--config FILE is required")?;
     Settings::load(path).map_err(|err| err.to_string())
 }
 
-/// Runs the process until a signal ends it.
-fn run(settings: &Settings, path: Option<&Path>) -> Result<Ending, String> {
+/// Runs the process until a signal stops it.
+fn run(settings: &Settings, path: Option<&Path>) -> Result<ShutdownOutcome, String> {
     logging::start(&settings.log).map_err(|err| err.to_string())?;
     let files = KeyFiles::for_role(&settings.link.keys, settings.link_role());
     let identity = files.load().map_err(|err| err.to_string())?;
     if settings.is_gateway() {
-        let path = path.ok_or("--config FILE is needed")?;
+        let path = path.ok_or("--config FILE is required")?;
         return run_gateway(settings, path, identity, Platform)
-            .map(|()| Ending::Whole)
+            .map(|()| ShutdownOutcome::Completed)
             .map_err(|err| err.to_string());
     }
     let daemon = Daemon::start(settings, identity).map_err(|err| err.to_string())?;
--- a/crates/sapphirequayd/src/shutdown.rs
+++ b/crates/sapphirequayd/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! Ends the process on a signal without cutting requests off.
+//! Graceful shutdown on a signal: waits for the requests in progress.
 
 use {
     sapphirequayd::{Daemon, Lifecycle},
@@ -14,46 +14,47 @@
     },
 };
 
-/// Interval at which the end of the last request is looked for.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+/// Interval at which the number of requests in progress is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How the process ended.
+/// Result of a graceful shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ending {
-    /// Every request in progress has ended.
-    Whole,
-    /// So many requests were cut off.
-    Cut(u32),
+pub enum ShutdownOutcome {
+    /// All requests in progress have ended.
+    Completed,
+    /// Number of requests that were still in progress.
+    Interrupted(u32),
 }
 
-/// Waits for a signal, then for the requests in progress.
+/// Waits for a signal, then for the requests in progress, for at most `grace`.
 ///
 /// # Errors
 ///
-/// Fails if signals can't be heard.
-pub fn wait(daemon: &Daemon, grace: Duration) -> io::Result<Ending> {
-    let signals = listen()?;
+/// Fails if the signal handlers can't be installed.
+pub fn wait(daemon: &Daemon, grace: Duration) -> io::Result<ShutdownOutcome> {
+    let signals = receive_signals()?;
     let _ = signals.recv();
     let lifecycle = daemon.lifecycle();
-    // Counted after the door is shut, so that the count only falls.
+    // Draining starts before the requests are counted, so that the number
+    // can only decrease.
     lifecycle.drain();
-    let open = lifecycle.in_progress();
+    let in_progress = lifecycle.in_progress();
     log::info!(
-        "event=shutdown_began in_progress={open} grace_s={}",
+        "event=shutdown_began in_progress={in_progress} grace_s={}",
         grace.as_secs()
     );
-    let ending = drain(lifecycle, &signals, Instant::now() + grace);
-    // Entries hear that the upstream leaves, so that they ask no more.
+    let outcome = drain(lifecycle, &signals, Instant::now() + grace);
+    // Entries learn that the upstream is draining and stop sending calls to it.
     daemon.wait_for_drain_announcement();
-    match ending {
-        Ending::Whole => log::info!("event=shutdown_ended in_progress=0"),
-        Ending::Cut(requests) => log::error!("event=shutdown_cut in_progress={requests}"),
+    match outcome {
+        ShutdownOutcome::Completed => log::info!("event=shutdown_ended in_progress=0"),
+        ShutdownOutcome::Interrupted(left) => log::error!("event=shutdown_cut in_progress={left}"),
     }
-    Ok(ending)
+    Ok(outcome)
 }
 
-/// Hears signals on a thread of its own.
-fn listen() -> io::Result<Receiver<()>> {
+/// Starts a thread that receives signals.
+fn receive_signals() -> io::Result<Receiver<()>> {
     let mut signals = Signals::new([SIGTERM, SIGINT])?;
     let (tx, rx) = mpsc::channel();
     thread::Builder::new()
@@ -69,16 +70,17 @@
     Ok(rx)
 }
 
-/// Waits for the last request, the end of the grace period or another signal.
-fn drain(lifecycle: &Lifecycle, signals: &Receiver<()>, until: Instant) -> Ending {
+/// Waits deadline no request is in progress, the grace period ends or another signal
+/// arrives.
+fn drain(lifecycle: &Lifecycle, signals: &Receiver<()>, deadline: Instant) -> ShutdownOutcome {
     loop {
-        let open = lifecycle.in_progress();
-        if open == 0 {
-            return Ending::Whole;
+        let in_progress = lifecycle.in_progress();
+        if in_progress == 0 {
+            return ShutdownOutcome::Completed;
         }
-        let hurried = signals.recv_timeout(LOOK_EVERY) != Err(RecvTimeoutError::Timeout);
-        if hurried || Instant::now() >= until {
-            return Ending::Cut(open);
+        let second_signal = signals.recv_timeout(POLL_INTERVAL) != Err(RecvTimeoutError::Timeout);
+        if second_signal || Instant::now() >= deadline {
+            return ShutdownOutcome::Interrupted(in_progress);
         }
     }
 }
--- a/crates/sapphirequayd/src/wire.rs
+++ b/crates/sapphirequayd/src/wire.rs
@@ -1,4 +1,4 @@
-//! First message of every stream between two processes.
+//! First message of each stream between two processes.
 
 use {
     crate::{
@@ -10,19 +10,19 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Names the role that a stream is for.
+/// Request that opens a stream, addressed to a role of the receiver.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LinkRequest {
-    /// For a sidecar.
+    /// Request to a sidecar.
     Sidecar(SidecarRequest),
-    /// For the keeper of the directory.
+    /// Request to the directory of upstreams.
     Members(MembersRequest),
-    /// For the ledger.
+    /// Request to the ledger.
     Ledger(LedgerRequest),
-    /// For the control group.
+    /// Request to the control group.
     Control(ControlRequest),
-    /// For the replica of a group.
+    /// Request to a replica of a group.
     Quorum(QuorumRequest),
-    /// For a control host or a store host of a gateway.
+    /// Request to a control host or a store host of a gateway.
     Gateway(GatewayRequest),
 }
--- a/crates/sapphirequayd/tests/wire.rs
+++ b/crates/sapphirequayd/tests/wire.rs
@@ -1,4 +1,5 @@
-//! Bytes from peers: no first frame may bring a process down.
+//! Decoding of frames from peers: malformed bytes must give an error, not a panic
+//! that would end the process.
 
 use {
     postcard::{from_bytes, to_stdvec},
@@ -9,13 +10,13 @@
 
 proptest! {
     #[test]
-    fn bytes_from_outside_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..256)) {
+    fn arbitrary_bytes_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..256)) {
         let _ = from_bytes::<LinkRequest>(&bytes);
         let _ = from_bytes::<QuorumReply>(&bytes);
     }
 
     #[test]
-    fn requests_round_trip_and_cut_ones_are_errors(index: u64, run: u64, cut in 1_usize..4) {
+    fn requests_round_trip_and_truncated_ones_are_errors(index: u64, run: u64, cut in 1_usize..4) {
         let id = PermitId { index: LogIndex(index), ..PermitId::default() };
         let req = LinkRequest::Sidecar(SidecarRequest::QueryPermit(id, Incarnation(run)));
         let bytes = to_stdvec(&req).expect("bytes");
