--- a/crates/sapphirequayd/src/connection/body.rs
+++ b/crates/sapphirequayd/src/connection/body.rs
@@ -108,8 +108,8 @@
     err.clone()
 }
 
-/// Whether the body is chunked. The end of an unread chunked body is unknown, so
-/// the connection can't be reused.
+/// Whether the body is chunked. The end of an unread chunked body is unknown,
+/// so the connection can't be reused.
 fn is_chunked(req: &Request) -> bool {
     req.headers()
         .iter()
--- a/crates/sapphirequayd/src/connection/engine.rs
+++ b/crates/sapphirequayd/src/connection/engine.rs
@@ -1,9 +1,10 @@
 //! Client of a model engine's HTTP interface.
 //!
 //! A request carries a stream id, chosen by the sidecar, in the header
-//! `Sapphirequay-Stream`. The `id:` of an event is the number of tokens generated
-//! so far. `GET /v1/streams/ID` with `Last-Event-ID` resumes the stream after
-//! that token on a new connection; `DELETE /v1/streams/ID` cancels the stream.
+//! `Sapphirequay-Stream`. The `id:` of an event is the number of tokens
+//! generated so far. `GET /v1/streams/ID` with `Last-Event-ID` resumes the
+//! stream after that token on a new connection; `DELETE /v1/streams/ID` cancels
+//! the stream.
 
 use {
     crate::request::{UpstreamEvent, Usage},
@@ -66,7 +67,7 @@
     usage: Option<TokenCounts>,
 }
 
-/// Completion choice of a chunk; requests ask for a single choice.
+/// Completion choice of a chunk; only the first choice is used.
 #[derive(Debug, Deserialize)]
 struct Choice {
     #[serde(default)]
@@ -158,7 +159,8 @@
         !matches!(sent, Err(ureq::Error::Transport(_)))
     }
 
-    /// Releases blocks of the engine's prefix cache; returns `false` on failure.
+    /// Releases blocks of the engine's prefix cache; returns `false` on
+    /// failure.
     #[must_use]
     pub fn release(&self, blocks: &[u64]) -> bool {
         if blocks.is_empty() {
@@ -174,7 +176,7 @@
     }
 }
 
-/// Converts a failed request into an event of the upstream.
+/// Converts a failed request into an upstream event.
 fn error_event(err: ureq::Error) -> UpstreamEvent {
     match err {
         ureq::Error::Status(status, response) => {
@@ -219,7 +221,7 @@
 }
 
 // ----------------------------------------------------------------------------
-// Events
+// Event stream
 
 /// Response stream on one connection.
 pub struct EngineStream {
@@ -285,7 +287,8 @@
         }
     }
 
-    /// Converts a chunk; returns `None` if it has neither text nor token counts.
+    /// Converts a chunk; returns `None` if it has neither text nor token
+    /// counts.
     fn chunk_event(&mut self, chunk: Chunk) -> Option<UpstreamEvent> {
         if let Some(choice) = chunk.choices.into_iter().next() {
             if choice.finish_reason.as_deref() == Some("length") {
@@ -307,7 +310,8 @@
         })
     }
 
-    /// Assigns a position to a text. A text without an event id counts as one token.
+    /// Assigns a position to a text. A text without an event id counts as one
+    /// token.
     fn text_event(&mut self, text: Box<str>) -> UpstreamEvent {
         let position = self.event_id.take().unwrap_or(self.position + 1);
         let tokens = position.saturating_sub(self.position).max(1);
--- a/crates/sapphirequayd/src/connection/entry_server.rs
+++ b/crates/sapphirequayd/src/connection/entry_server.rs
@@ -254,7 +254,7 @@
     let prompt = completion.prompt();
     let content = CallContent {
         target: CallTarget::Model(completion.model_id()),
-        sent: body,
+        original_body: body,
         history: completion.new_messages().into(),
         prompt: prompt.tokens,
         max_output: completion.max_output(),
--- a/crates/sapphirequayd/src/connection/listener.rs
+++ b/crates/sapphirequayd/src/connection/listener.rs
@@ -3,8 +3,9 @@
 //! `tiny_http` sets no time-outs, so they are set on the listening socket, from
 //! which accepted sockets inherit them. The receive time-out also applies to
 //! `accept` on the listener, and `tiny_http` stops accepting after such a
-//! time-out. [`prevent_accept_timeout`] avoids this by connecting to the listener
-//! regularly, and [`serve_forever`] starts a new server if it happens anyway.
+//! time-out. [`prevent_accept_timeout`] avoids this by connecting to the
+//! listener regularly, and [`serve_forever`] starts a new server if it happens
+//! anyway.
 
 use {
     crate::settings::EntrySettings,
@@ -95,7 +96,8 @@
     }
 }
 
-/// Passes requests to `serve` until the server stops accepting or `serve` breaks.
+/// Passes requests to `serve` until the server stops accepting or `serve`
+/// breaks.
 fn receive_requests(
     server: &Server,
     serve: &impl Fn(Request) -> ControlFlow<()>,
--- a/crates/sapphirequayd/src/connection/monitor_server.rs
+++ b/crates/sapphirequayd/src/connection/monitor_server.rs
@@ -1,5 +1,5 @@
-//! HTTP server for `/metrics` and `/healthz` on the monitoring address, in addition
-//! to those that an entry serves to callers.
+//! HTTP server for `/metrics` and `/healthz` on the monitoring address, in
+//! addition to those that an entry serves to callers.
 
 use {
     crate::process::{Lifecycle, telemetry},
--- a/crates/sapphirequayd/src/connection/programs.rs
+++ b/crates/sapphirequayd/src/connection/programs.rs
@@ -131,7 +131,7 @@
     /// Model or service to call.
     pub target: CallTarget,
     /// Request body as received from the caller.
-    pub sent: &'a [u8],
+    pub original_body: &'a [u8],
     /// Request body to send to the upstream.
     pub body: Box<[u8]>,
     /// Messages new in this call, for the program's history.
@@ -150,7 +150,7 @@
     pub fn service(name: &str, body: &'a [u8]) -> Self {
         Self {
             target: CallTarget::Service(ServiceId::of(name)),
-            sent: body,
+            original_body: body,
             body: body.into(),
             history: body.into(),
             prompt: Tokens(0),
@@ -178,7 +178,7 @@
         CallTarget::Model(model) => model.0,
         CallTarget::Service(service) => service.0,
     };
-    let digest = ContentDigest::of(&[&target.to_le_bytes(), content.sent]);
+    let digest = ContentDigest::of(&[&target.to_le_bytes(), content.original_body]);
     CallSpec {
         request: CallRequest {
             permit: None,
@@ -250,8 +250,8 @@
     depth: Option<u8>,
 }
 
-/// Serves a request to a program endpoint and returns the status and body of the
-/// response.
+/// Serves a request to a program endpoint and returns the status and body of
+/// the response.
 ///
 /// # Errors
 ///
--- a/crates/sapphirequayd/src/connection/response.rs
+++ b/crates/sapphirequayd/src/connection/response.rs
@@ -121,7 +121,8 @@
 pub struct EventStreamResponse<W> {
     out: W,
     info: ResponseInfo,
-    /// Whether the response head was sent; after that, errors are sent as events.
+    /// Whether the response head was sent; after that, errors are sent as
+    /// events.
     head_sent: bool,
     /// Number of text bytes sent so far.
     bytes: u64,
@@ -174,8 +175,8 @@
         self.write_chunk(&format!("data: {event}\n\n"))
     }
 
-    /// Writes the chunk with the assistant role, which client libraries expect once
-    /// before the text.
+    /// Writes the chunk with the assistant role, which client libraries expect
+    /// once before the text.
     fn write_role(&mut self) -> io::Result<()> {
         if self.head_sent {
             return Ok(());
--- a/crates/sapphirequayd/src/connection/route.rs
+++ b/crates/sapphirequayd/src/connection/route.rs
@@ -23,8 +23,8 @@
 /// Prefix of the paths of services other than model engines.
 const SERVICES: &str = "/v1/services/";
 
-/// Method, path and route of each endpoint except [`PROGRAMS`], which has several
-/// methods.
+/// Method, path and route of each endpoint except [`PROGRAMS`], which has
+/// several methods.
 const ROUTES: &[(&str, &str, Route)] = &[
     ("GET", "/healthz", Route::Health),
     ("GET", "/metrics", Route::Metrics),
--- a/crates/sapphirequayd/src/lib.rs
+++ b/crates/sapphirequayd/src/lib.rs
@@ -1,9 +1,10 @@
 //! Library of the sapphirequayd daemon: all roles that a process can have.
 //!
-//! [`Settings`] select the roles. [`Daemon::start`] starts them; [`run_gateway`]
-//! runs a role of a gateway. Modules are organised by the lifetime of their
-//! values: `request` for a call, `connection` for an HTTP connection, `version`
-//! for a configuration version, `process` for the whole process.
+//! [`Settings`] select the roles. [`Daemon::start`] starts them;
+//! [`run_gateway`] runs a role of a gateway. Modules are organised by the
+//! lifetime of their values: `request` for a call, `connection` for an HTTP
+//! connection, `version` for a configuration version, `process` for the whole
+//! process.
 //!
 //! ```
 //! use sapphirequayd::Settings;
--- a/crates/sapphirequayd/src/settings/check.rs
+++ b/crates/sapphirequayd/src/settings/check.rs
@@ -57,8 +57,8 @@
         self.front.is_some() || self.control.is_some() || self.store.is_some()
     }
 
-    /// Checks that a process of a gateway has a single role and seeds to find the
-    /// others.
+    /// Checks that a process of a gateway has a single role and seeds to find
+    /// the others.
     fn check_gateway(&self, has_call_role: bool, problems: &mut Vec<Problem>) {
         let roles = [
             self.front.is_some(),
@@ -76,7 +76,8 @@
         }
     }
 
-    /// Returns all listen addresses of the process, each with its table and key.
+    /// Returns all listen addresses of the process, each with its table and
+    /// key.
     fn listeners(&self) -> Vec<(&'static str, &'static str, SocketAddr)> {
         let mut listeners = vec![("link", "listen", self.link.listen)];
         if let Some(entry) = &self.entry {
@@ -95,7 +96,8 @@
         listeners
     }
 
-    /// Checks that no two listeners share an address, also not with the upstream.
+    /// Checks that no two listeners share an address, also not with the
+    /// upstream.
     fn check_ports(&self, problems: &mut Vec<Problem>) {
         let listeners = self.listeners();
         for (position, (section, key, addr)) in listeners.iter().enumerate() {
@@ -171,8 +173,8 @@
     }
 }
 
-/// Whether two listen addresses conflict. Port 0 never does, since the operating
-/// system assigns a free port.
+/// Whether two listen addresses conflict. Port 0 never does, since the
+/// operating system assigns a free port.
 fn conflict(a: SocketAddr, b: SocketAddr) -> bool {
     let same_host = a.ip() == b.ip() || a.ip().is_unspecified() || b.ip().is_unspecified();
     a.port() == b.port() && a.port() != 0 && same_host
--- a/crates/sapphirequayd/src/settings/entry.rs
+++ b/crates/sapphirequayd/src/settings/entry.rs
@@ -11,13 +11,13 @@
 pub struct EntrySettings {
     /// TCP listen address for callers.
     pub listen: SocketAddr,
-    /// Maximum number of requests in progress; further requests are refused as not
-    /// run.
+    /// Maximum number of requests in progress; further requests are refused as
+    /// not run.
     pub max_requests: u32,
     /// Maximum size of a request body, in bytes.
     pub max_body_bytes: u64,
-    /// Time without received bytes after which a connection is closed, within a
-    /// request or idle, in milliseconds.
+    /// Time without received bytes after which a connection is closed while a
+    /// request is being received or the connection is idle, in milliseconds.
     pub read_timeout_ms: u64,
     /// Time after which a connection is closed if the caller reads nothing, in
     /// milliseconds.
--- a/crates/sapphirequayd/src/settings/gateway.rs
+++ b/crates/sapphirequayd/src/settings/gateway.rs
@@ -63,21 +63,22 @@
 pub struct FrontSettings {
     /// TCP listen address for callers.
     pub listen: SocketAddr,
-    /// TCP listen address for readiness checks: whether the host accepts callers.
+    /// TCP listen address for readiness checks: whether the host accepts
+    /// callers.
     pub ready: SocketAddr,
     /// Size of the in-memory cache of stored turns, in bytes.
     #[serde(default = "chain_cache_bytes")]
     pub chain_cache_bytes: usize,
 }
 
-/// Default of [`FrontSettings::chain_cache_bytes`]: an eighth of the memory of the
-/// smallest front in the deployments' tables (110 MB).
+/// Default of [`FrontSettings::chain_cache_bytes`]: an eighth of the memory of
+/// the smallest front in the deployments' tables (110 MB).
 const fn chain_cache_bytes() -> usize {
     14 << 20
 }
 
-/// Settings of a control host, which manages the routing table, the directory of
-/// upstreams and the members of the stores.
+/// Settings of a control host, which manages the routing table, the directory
+/// of upstreams and the members of the stores.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControlSettings {
--- a/crates/sapphirequayd/src/settings/ledger.rs
+++ b/crates/sapphirequayd/src/settings/ledger.rs
@@ -10,20 +10,21 @@
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LedgerSettings {
-    /// Data folder, whose content must survive restarts; `None` keeps all data in
-    /// memory.
+    /// Data folder, whose content must survive restarts; `None` keeps all data
+    /// in memory.
     pub data: Option<PathBuf>,
-    /// Number of groups that programs are distributed over, excluding the control
-    /// group.
+    /// Number of groups that programs are distributed over, excluding the
+    /// control group.
     pub groups: u16,
-    /// Node id of this host in the groups that it bootstraps; 0 uses the id stored
-    /// in the data folder.
+    /// Node id of this host in the groups that it bootstraps; 0 uses the id
+    /// stored in the data folder.
     pub node: u64,
-    /// Whether a host with a new data folder bootstraps the groups with `peers`.
-    /// Must be removed after the first start: a host that lost its disk must not
-    /// rejoin with its old identity.
+    /// Whether a host with a new data folder bootstraps the groups with
+    /// `peers`. Must be removed after the first start: a host that lost its
+    /// disk must not rejoin with its old identity.
     pub bootstrap: bool,
-    /// Initial members of the groups, including this host; the same on every host.
+    /// Initial members of the groups, including this host; the same on every
+    /// host.
     pub peers: Vec<PeerSettings>,
     /// File with the initial configuration document of a new control group;
     /// ignored by a group that already has a document.
@@ -75,7 +76,7 @@
         let mut nodes = BTreeSet::new();
         for peer in &self.peers {
             if peer.node == 0 {
-                return problem("peers", "node must not be 0");
+                return problem("peers", "node = 0 is not a valid id");
             }
             if !nodes.insert(peer.node) {
                 return problem("peers", &format!("duplicate node = {}", peer.node));
--- a/crates/sapphirequayd/src/settings/log.rs
+++ b/crates/sapphirequayd/src/settings/log.rs
@@ -10,11 +10,11 @@
     pub level: LogLevel,
     /// File to append to; `None` writes to standard output.
     pub file: Option<PathBuf>,
-    /// Maximum number of lines of one event per second; further lines are dropped
-    /// and counted.
+    /// Maximum number of lines of one event per second; further lines are
+    /// dropped and counted.
     pub lines_per_event_s: u32,
-    /// Maximum number of lines queued for a slow output; further lines are dropped
-    /// and counted.
+    /// Maximum number of lines queued for a slow output; further lines are
+    /// dropped and counted.
     pub waiting_lines: usize,
 }
 
--- a/crates/sapphirequayd/src/settings/mod.rs
+++ b/crates/sapphirequayd/src/settings/mod.rs
@@ -105,8 +105,8 @@
     ///
     /// # Errors
     ///
-    /// [`SettingsError::Io`] if the file can't be read, [`SettingsError::Invalid`]
-    /// with all problems found in it.
+    /// [`SettingsError::Io`] if the file can't be read,
+    /// [`SettingsError::Invalid`] with all problems found in it.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         let text = fs::read_to_string(path).map_err(|err| SettingsError::Io(path.into(), err))?;
         let invalid = |problems| SettingsError::Invalid(path.into(), problems);
--- a/crates/sapphirequayd/src/settings/policy.rs
+++ b/crates/sapphirequayd/src/settings/policy.rs
@@ -11,21 +11,22 @@
 #[serde(deny_unknown_fields, default)]
 pub struct PolicyTable {
     /// Selection of the upstream, on entries.
-    pub route: RouteTable,
+    pub route: RoutePolicyTable,
     /// Admission queue of the upstream, on sidecars.
-    pub admit: AdmitTable,
+    pub admit: AdmissionPolicyTable,
     /// Retries after the loss of an upstream, on entries.
-    pub retry: RetryTable,
+    pub retry: RetryPolicyTable,
     /// KV cache of the engine, on sidecars.
     pub kv: KvTable,
 }
 
-/// TOML table `[policy.kv]`: retention of programs' blocks in the engine's KV cache.
+/// TOML table `[policy.kv]`: retention of programs' blocks in the engine's KV
+/// cache.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct KvTable {
-    /// Interval at which the ledger is queried for idle programs that have ended,
-    /// in milliseconds.
+    /// Interval at which the ledger is queried for idle programs that have
+    /// ended, in milliseconds.
     pub sweep_ms: u64,
 }
 
@@ -46,7 +47,7 @@
 /// TOML table `[policy.route]`: keys for [`RouteSettings`].
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct RouteTable {
+pub struct RoutePolicyTable {
     /// [`RouteSettings::prefill_us`].
     pub prefill_us: u64,
     /// [`RouteSettings::prefix_weight`].
@@ -75,7 +76,7 @@
     pub book_blocks: usize,
 }
 
-impl Default for RouteTable {
+impl Default for RoutePolicyTable {
     fn default() -> Self {
         let cfg = RouteSettings::default();
         Self {
@@ -96,7 +97,7 @@
     }
 }
 
-impl RouteTable {
+impl RoutePolicyTable {
     /// Converts the table to the settings of routing.
     #[must_use]
     pub fn settings(&self) -> RouteSettings {
@@ -122,7 +123,7 @@
 /// TOML table `[policy.admit]`: keys for [`AdmissionSettings`].
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct AdmitTable {
+pub struct AdmissionPolicyTable {
     /// [`AdmissionSettings::start_limit`].
     pub start_limit: u32,
     /// [`AdmissionSettings::min_limit`].
@@ -145,7 +146,7 @@
     pub service_ms: u64,
 }
 
-impl Default for AdmitTable {
+impl Default for AdmissionPolicyTable {
     fn default() -> Self {
         let cfg = AdmissionSettings::default();
         Self {
@@ -163,9 +164,9 @@
     }
 }
 
-impl AdmitTable {
-    /// Converts the table to the settings of admission, with `concurrency` as the
-    /// maximum number of running calls.
+impl AdmissionPolicyTable {
+    /// Converts the table to the settings of admission, with `concurrency` as
+    /// the maximum number of running calls.
     #[must_use]
     pub fn settings(&self, concurrency: u32) -> AdmissionSettings {
         AdmissionSettings {
@@ -188,14 +189,14 @@
 /// TOML table `[policy.retry]`: keys for [`RetrySettings`].
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct RetryTable {
+pub struct RetryPolicyTable {
     /// [`RetrySettings::share_permille`].
     pub share_permille: u32,
     /// [`RetrySettings::burst`].
     pub burst: u32,
 }
 
-impl Default for RetryTable {
+impl Default for RetryPolicyTable {
     fn default() -> Self {
         let cfg = RetrySettings::default();
         Self {
@@ -205,7 +206,7 @@
     }
 }
 
-impl RetryTable {
+impl RetryPolicyTable {
     /// Converts the table to the settings of retry budgets.
     #[must_use]
     pub const fn settings(&self) -> RetrySettings {
--- a/crates/sapphirequayd/src/settings/process.rs
+++ b/crates/sapphirequayd/src/settings/process.rs
@@ -15,8 +15,8 @@
     pub data_centre: Box<str>,
     /// Maximum time to wait for requests in progress at shutdown, in seconds.
     pub grace_s: u64,
-    /// TCP listen address of `/metrics` and `/healthz`, in addition to those that an
-    /// entry serves to callers.
+    /// TCP listen address of `/metrics` and `/healthz`, in addition to those
+    /// that an entry serves to callers.
     pub monitor: Option<SocketAddr>,
 }
 
--- a/crates/sapphirequayd/src/shutdown.rs
+++ b/crates/sapphirequayd/src/shutdown.rs
@@ -70,8 +70,8 @@
     Ok(rx)
 }
 
-/// Waits deadline no request is in progress, the grace period ends or another signal
-/// arrives.
+/// Waits until no request is in progress, the grace period ends or another
+/// signal arrives.
 fn drain(lifecycle: &Lifecycle, signals: &Receiver<()>, deadline: Instant) -> ShutdownOutcome {
     loop {
         let in_progress = lifecycle.in_progress();
--- a/crates/sapphirequayd/src/version/rules.rs
+++ b/crates/sapphirequayd/src/version/rules.rs
@@ -1,5 +1,5 @@
-//! Rules of one configuration version: authentication, access to models, drained
-//! upstreams and quarantined content.
+//! Rules of one configuration version: authentication, access to models,
+//! drained upstreams and quarantined content.
 
 use {
     quay_config::{Config, Image, Subscriber},
@@ -10,7 +10,8 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// Path of all requests to a service, since callers give the service's name only.
+/// Path of all requests to a service, since callers give the service's name
+/// only.
 const ANY_PATH: &str = "/";
 
 /// Rules of the configuration at one index.
@@ -41,7 +42,8 @@
         }
     }
 
-    /// Returns the configuration index of these rules; 0 before the first document.
+    /// Returns the configuration index of these rules; 0 before the first
+    /// document.
     #[must_use]
     pub const fn index(&self) -> ConfigIndex {
         self.image.index
@@ -114,8 +116,8 @@
         self.image.drained.keys().map(|name| UpstreamId::of(name))
     }
 
-    /// Whether requests to a service may be repeated; `true` unless the document
-    /// states otherwise.
+    /// Whether requests to a service may be repeated; `true` unless the
+    /// document states otherwise.
     #[must_use]
     pub fn is_repeatable(&self, service: ServiceId) -> bool {
         let config = self.config.as_ref();
@@ -123,12 +125,13 @@
         service.is_none_or(|service| service.repeatable(ANY_PATH))
     }
 
-    /// Checks that content is not quarantined at `now_ms`, in milliseconds since the
-    /// Unix epoch.
+    /// Checks that content is not quarantined at `now_ms`, in milliseconds
+    /// since the Unix epoch.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Quarantined`] until the quarantine mark expires or is cleared.
+    /// [`ErrorKind::Quarantined`] until the quarantine mark expires or is
+    /// cleared.
     pub fn check_quarantine(&self, digest: ContentDigest, now_ms: u64) -> Result<()> {
         let until_ms = self
             .image
--- a/crates/sapphirequayd/tests/settings.rs
+++ b/crates/sapphirequayd/tests/settings.rs
@@ -34,13 +34,13 @@
         .expect("run sapphirequayd");
     let messages = String::from_utf8_lossy(&output.stderr).into_owned();
     let messages = messages.replace(&*dir.to_string_lossy(), "DIR");
-    (output.status.code().expect("exit code"), messages)
+    (output.status.code().expect("code"), messages)
 }
 
 /// Creates a folder with key files.
 fn folder() -> tempfile::TempDir {
     let dir = tempfile::tempdir().expect("create a temporary folder");
-    let keys = DevelopmentKeys::generate().expect("generate keys");
+    let keys = DevelopmentKeys::generate().expect("keys");
     keys.write(&dir.path().join("keys"), &["operator"])
         .expect("write key files");
     dir
--- a/crates/sapphirequayd/tests/wire.rs
+++ b/crates/sapphirequayd/tests/wire.rs
@@ -1,5 +1,5 @@
-//! Decoding of frames from peers: malformed bytes must give an error, not a panic
-//! that would end the process.
+//! Decoding of frames from peers: malformed bytes must give an error, not a
+//! panic that would end the process.
 
 use {
     postcard::{from_bytes, to_stdvec},
