--- a/crates/sapphirequay/src/audit.rs
+++ b/crates/sapphirequay/src/audit.rs
@@ -1,7 +1,7 @@
-//! `sapphirequay audit`: the audit trail.
+//! `sapphirequay audit`: prints the audit trail and verifies its hash chain.
 
 use {
-    crate::operator::{Operator, operator_args, unexpected, utc},
+    crate::operator::{Operator, format_utc, operator_args, unexpected_reply},
     quay_config::AuditRecord,
     quay_types::ContentDigest,
     sapphirequayd::{ControlError, ControlReply, ControlRequest},
@@ -9,30 +9,31 @@
     std::{error::Error, thread, time::Duration},
 };
 
-/// Records in one answer.
-const PAGE: u32 = 500;
+/// Maximum number of records in one reply.
+const PAGE_RECORDS: u32 = 500;
 
-/// Interval at which new records are asked for.
-const FOLLOW_EVERY: Duration = Duration::from_secs(1);
+/// Interval at which `--follow` polls for new records.
+const FOLLOW_INTERVAL: Duration = Duration::from_secs(1);
 
 operator_args!(
     /// Arguments of `audit`.
     AuditArgs {
-        #[options(no_short, meta = "N", help = "begin after this sequence number")]
+        #[options(no_short, meta = "N", help = "print only records after this sequence number")]
         after: u64,
-        #[options(no_short, help = "go on with new records as they come")]
+        #[options(no_short, help = "keep running and print new records")]
         follow: bool,
     }
 );
 
-/// A reader of the trail, which checks that no record is missing or changed.
+/// Reader of the audit trail that reports missing and altered records.
 pub struct Trail {
     after: u64,
     chain: Option<ContentDigest>,
 }
 
 impl Trail {
-    /// A reader that begins after a sequence number.
+    /// Creates a reader that starts after a sequence number. If that number is
+    /// not 0, the chain of the first record is not verified.
     pub const fn after(sequence: u64) -> Self {
         let chain = if sequence == 0 {
             Some(ContentDigest::ZERO)
@@ -45,52 +46,49 @@
         }
     }
 
-    /// The next records; none at the end.
+    /// Reads the next records; empty at the end of the trail.
     pub fn next(&mut self, operator: &mut Operator) -> Result<Box<[AuditRecord]>, Box<dyn Error>> {
         let req = ControlRequest::Audit {
             after: self.after,
-            limit: PAGE,
+            limit: PAGE_RECORDS,
         };
-        let records = match operator.ask(&req)? {
+        let records = match operator.request(&req)? {
             ControlReply::Audit(records) => records,
-            other => return Err(unexpected(&other)),
+            other => return Err(unexpected_reply(&other)),
         };
         for record in &records {
-            self.check(record);
+            self.verify(record);
         }
         Ok(records)
     }
 
-    /// Warns of a gap or of a record that does not follow on the one before.
-    fn check(&mut self, record: &AuditRecord) {
+    /// Warns of a gap in the sequence numbers or of a mismatch in the chain.
+    fn verify(&mut self, record: &AuditRecord) {
         let follows = record.sequence == self.after + 1;
         if !follows && self.after > 0 {
             eprintln!(
-                "audit: records {} to {} are no longer kept",
+                "audit: records {} to {} are no longer stored",
                 self.after + 1,
                 record.sequence - 1
             );
         }
         let chained = self.chain.filter(|_| follows);
         if chained.is_some_and(|chain| record.chain_after(chain) != record.chain) {
-            eprintln!(
-                "audit: record {} does not follow on the one before",
-                record.sequence
-            );
+            eprintln!("audit: hash chain broken at record {}", record.sequence);
         }
         self.after = record.sequence;
         self.chain = Some(record.chain);
     }
 }
 
-/// Prints the trail, and follows it if asked.
+/// Prints the trail; with `--follow`, keeps polling for new records.
 pub fn run(args: &AuditArgs) -> Result<(), Box<dyn Error>> {
     let mut operator = args.connect()?;
     let mut trail = Trail::after(args.after);
     loop {
         let records = match trail.next(&mut operator) {
             Ok(records) => records,
-            // Without a quorum the trail goes on later.
+            // A ledger without a quorum is retried at the next poll.
             Err(err) if args.follow && err.is::<ControlError>() => {
                 eprintln!("audit: {err}");
                 Box::default()
@@ -104,12 +102,12 @@
             if !args.follow {
                 return Ok(());
             }
-            thread::sleep(FOLLOW_EVERY);
+            thread::sleep(FOLLOW_INTERVAL);
         }
     }
 }
 
-/// Prints one record.
+/// Prints one record as JSON or as a line of text.
 pub fn print_record(json: bool, record: &AuditRecord) {
     if json {
         let value = json!({
@@ -126,7 +124,7 @@
     println!(
         "{} {} author={} action={:?} outcome={outcome:?} index={} id={} cause={:?} before={} after={}",
         record.sequence,
-        utc(record.time_ms),
+        format_utc(record.time_ms),
         record.author,
         record.action,
         record.index,
--- a/crates/sapphirequay/src/config/apply.rs
+++ b/crates/sapphirequay/src/config/apply.rs
@@ -1,4 +1,4 @@
-//! `sapphirequay config apply`: puts a section's new text into force.
+//! `sapphirequay config apply`: applies the edited text of a section.
 
 use {
     crate::{
@@ -12,18 +12,18 @@
 operator_args!(
     /// Arguments of `config apply`.
     ApplyArgs {
-        #[options(no_short, meta = "ID", help = "id of the change, to send it again after a lost answer")]
+        #[options(no_short, meta = "ID", help = "change id; reuse it to send the change again after a lost reply")]
         change_id: Option<String>,
-        #[options(no_short, meta = "TEXT", help = "why, for the audit trail")]
+        #[options(no_short, meta = "TEXT", help = "reason recorded in the audit trail")]
         cause: Option<String>,
-        #[options(no_short, help = "only tell whether it would be accepted")]
+        #[options(no_short, help = "validate the change without applying it")]
         dry_run: bool,
-        #[options(free, required, help = "file from `config show`, edited")]
+        #[options(free, required, help = "edited output of `config show`")]
         file: PathBuf,
     }
 );
 
-/// Sends the change.
+/// Submits the edited section as a change and prints the result.
 pub fn run(args: &ApplyArgs) -> Result<(), Box<dyn Error>> {
     let text =
         fs::read_to_string(&args.file).map_err(|err| format!("{}: {err}", args.file.display()))?;
@@ -35,7 +35,7 @@
     };
     let cause = args.cause.as_deref().unwrap_or_default();
     let mut operator = args.connect()?;
-    let (id, accepted) = operator.order(action, args.change_id.as_deref(), cause, args.dry_run)?;
+    let (id, accepted) = operator.submit(action, args.change_id.as_deref(), cause, args.dry_run)?;
     print_accepted(args.json, &id, &accepted);
     Ok(())
 }
--- a/crates/sapphirequay/src/config/check.rs
+++ b/crates/sapphirequay/src/config/check.rs
@@ -1,4 +1,4 @@
-//! `sapphirequay config check`: checks a document without a ledger.
+//! `sapphirequay config check`: checks a configuration document offline.
 
 use {
     gumdrop::Options,
@@ -14,11 +14,11 @@
     help: bool,
     #[options(no_short, help = "print JSON")]
     json: bool,
-    #[options(free, required, help = "file of the whole document")]
+    #[options(free, required, help = "file with the complete document")]
     file: PathBuf,
 }
 
-/// Checks the file and prints each fault.
+/// Checks the file and prints each fault; fails if there are any.
 pub fn run(args: &CheckArgs) -> Result<(), Box<dyn Error>> {
     let text =
         fs::read_to_string(&args.file).map_err(|err| format!("{}: {err}", args.file.display()))?;
--- a/crates/sapphirequay/src/config/diff.rs
+++ b/crates/sapphirequay/src/config/diff.rs
@@ -1,4 +1,5 @@
-//! `sapphirequay config diff`: compares a file with what is in force.
+//! `sapphirequay config diff`: compares the file of a section with the active
+//! revision.
 
 use {
     crate::{
@@ -14,12 +15,12 @@
 operator_args!(
     /// Arguments of `config diff`.
     DiffArgs {
-        #[options(free, required, help = "file from `config show`")]
+        #[options(free, required, help = "output of `config show`, possibly edited")]
         file: PathBuf,
     }
 );
 
-/// Prints the lines that differ: `-` in force, `+` in the file.
+/// Prints the lines that differ: `-` in the active revision, `+` in the file.
 pub fn run(args: &DiffArgs) -> Result<(), Box<dyn Error>> {
     let text =
         fs::read_to_string(&args.file).map_err(|err| format!("{}: {err}", args.file.display()))?;
@@ -37,7 +38,7 @@
     }
     if !current {
         println!(
-            "the file was made from version {} ({}), version {} ({}) is in force",
+            "the file is based on version {} ({}), but version {} ({}) is in force",
             file.base.version, file.base.digest, now.base.version, now.base.digest
         );
     }
--- a/crates/sapphirequay/src/config/history.rs
+++ b/crates/sapphirequay/src/config/history.rs
@@ -1,4 +1,4 @@
-//! `sapphirequay config history`: the changes, accepted and refused.
+//! `sapphirequay config history`: prints accepted and refused changes.
 
 use {
     crate::{
@@ -11,12 +11,12 @@
 operator_args!(
     /// Arguments of `config history`.
     HistoryArgs {
-        #[options(no_short, meta = "NAME", help = "only changes of this section")]
+        #[options(no_short, meta = "NAME", help = "print only changes of this section")]
         section: Option<String>,
     }
 );
 
-/// Prints the changes, oldest first.
+/// Prints the changes, oldest first, from the audit trail.
 pub fn run(args: &HistoryArgs) -> Result<(), Box<dyn Error>> {
     let mut operator = args.connect()?;
     let mut trail = Trail::after(0);
--- a/crates/sapphirequay/src/config/mod.rs
+++ b/crates/sapphirequay/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! `sapphirequay config`: the configuration document.
+//! `sapphirequay config`: checks, changes and inspects the configuration.
 
 mod apply;
 mod check;
@@ -18,24 +18,24 @@
     command: Option<ConfigCommand>,
 }
 
-/// What to do with the configuration.
+/// Subcommands of `config`.
 #[derive(Debug, Options)]
 enum ConfigCommand {
-    #[options(help = "check a whole document in a file")]
+    #[options(help = "check a complete configuration document in a file")]
     Check(check::CheckArgs),
-    #[options(help = "print a section with what a change of it is made from")]
+    #[options(help = "print a section with its base revision, for editing")]
     Show(show::ShowArgs),
-    #[options(help = "put a section's new text into force")]
+    #[options(help = "apply the edited text of a section")]
     Apply(apply::ApplyArgs),
-    #[options(help = "print what is in force, and which daemons lag")]
+    #[options(help = "print the active revisions and which daemons lag behind")]
     Status(status::StatusArgs),
-    #[options(help = "print the changes, accepted and refused")]
+    #[options(help = "print the history of accepted and refused changes")]
     History(history::HistoryArgs),
-    #[options(help = "compare a section's file with what is in force")]
+    #[options(help = "compare the file of a section with the active revision")]
     Diff(diff::DiffArgs),
 }
 
-/// Runs the command that was asked for.
+/// Dispatches to the given subcommand.
 pub fn run(args: ConfigArgs) -> Result<(), Box<dyn Error>> {
     match args.command {
         Some(ConfigCommand::Check(args)) => check::run(&args),
@@ -44,6 +44,6 @@
         Some(ConfigCommand::Status(args)) => status::run(&args),
         Some(ConfigCommand::History(args)) => history::run(&args),
         Some(ConfigCommand::Diff(args)) => diff::run(&args),
-        None => Err("a command is needed; see --help".into()),
+        None => Err("missing subcommand; see --help".into()),
     }
 }
--- a/crates/sapphirequay/src/config/show.rs
+++ b/crates/sapphirequay/src/config/show.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        operator::{Operator, operator_args, unexpected},
+        operator::{Operator, operator_args, unexpected_reply},
         section_file::SectionFile,
     },
     quay_config::{Image, SectionRevision},
@@ -19,15 +19,16 @@
     }
 );
 
-/// Reads everything in force.
+/// Reads the complete active configuration.
 pub fn image(operator: &mut Operator) -> Result<Box<Image>, Box<dyn Error>> {
-    match operator.ask(&ControlRequest::Image)? {
+    match operator.request(&ControlRequest::Image)? {
         ControlReply::Image(image) => Ok(image),
-        other => Err(unexpected(&other)),
+        other => Err(unexpected_reply(&other)),
     }
 }
 
-/// The section as a file; an empty one if it does not exist yet.
+/// Section in the file format for editing; empty if the section does not exist
+/// yet.
 pub fn section_file(image: &Image, name: &str) -> SectionFile {
     let section = image.sections.get(name);
     SectionFile {
@@ -40,7 +41,7 @@
     }
 }
 
-/// Prints the section.
+/// Prints the section as an editable file or as JSON.
 pub fn run(args: &ShowArgs) -> Result<(), Box<dyn Error>> {
     let file = section_file(&*image(&mut args.connect()?)?, &args.section);
     if args.json {
--- a/crates/sapphirequay/src/config/status.rs
+++ b/crates/sapphirequay/src/config/status.rs
@@ -1,24 +1,25 @@
-//! `sapphirequay config status`: what is in force, and which daemons lag.
+//! `sapphirequay config status`: prints the active revisions and which daemons
+//! lag behind.
 
 use {
-    crate::operator::{operator_args, unexpected, utc},
+    crate::operator::{format_utc, operator_args, unexpected_reply},
     sapphirequayd::{ControlReply, ControlRequest, ControlStatus, DaemonRow},
     serde_json::{Value, json},
     std::error::Error,
 };
 
-/// A daemon that has not asked for so long is not heard of any more.
-const SILENT_AFTER_MS: u64 = 5_000;
+/// Time without a poll, in milliseconds, after which a daemon counts as silent.
+const SILENCE_TIMEOUT_MS: u64 = 5_000;
 
 operator_args!(
     /// Arguments of `config status`.
     StatusArgs {}
 );
 
-/// What there is to say of a daemon.
-fn verdict(status: &ControlStatus, row: &DaemonRow) -> String {
+/// State of a daemon: silent, behind the active index, or up to date.
+fn daemon_state(status: &ControlStatus, row: &DaemonRow) -> String {
     let behind = status.index.0.saturating_sub(row.index.0);
-    if row.age_ms > SILENT_AFTER_MS {
+    if row.age_ms > SILENCE_TIMEOUT_MS {
         format!("silent for {} s", row.age_ms / 1_000)
     } else if behind > 0 {
         format!("behind by {behind}")
@@ -29,9 +30,9 @@
 
 /// Prints the status.
 pub fn run(args: &StatusArgs) -> Result<(), Box<dyn Error>> {
-    let status = match args.connect()?.ask(&ControlRequest::Status)? {
+    let status = match args.connect()?.request(&ControlRequest::Status)? {
         ControlReply::Status(status) => status,
-        other => return Err(unexpected(&other)),
+        other => return Err(unexpected_reply(&other)),
     };
     if args.json {
         println!("{}", to_json(&status));
@@ -41,7 +42,7 @@
     Ok(())
 }
 
-/// The status as JSON.
+/// Converts the status to JSON.
 fn to_json(status: &ControlStatus) -> Value {
     let sections: Vec<_> = status
         .sections
@@ -60,7 +61,7 @@
         .map(|row| {
             json!({
                 "name": row.name, "index": row.index.0, "age_ms": row.age_ms,
-                "state": verdict(status, row),
+                "state": daemon_state(status, row),
             })
         })
         .collect();
@@ -69,7 +70,7 @@
     })
 }
 
-/// Prints the status for a person.
+/// Prints the status as lines of text.
 fn print(status: &ControlStatus) {
     println!(
         "index {} in force, {} audit records",
@@ -79,7 +80,7 @@
         let set = if section.author.is_empty() {
             "the first document".into()
         } else {
-            format!("{} at {}", section.author, utc(section.time_ms))
+            format!("{} at {}", section.author, format_utc(section.time_ms))
         };
         println!(
             "section {} version {} digest {} set by {set}, owned by {}",
@@ -94,7 +95,7 @@
             "daemon {} index {}: {}",
             row.name,
             row.index,
-            verdict(status, row)
+            daemon_state(status, row)
         );
     }
 }
--- a/crates/sapphirequay/src/demo.rs
+++ b/crates/sapphirequay/src/demo.rs
@@ -1,4 +1,4 @@
-//! `sapphirequay demo`: every role and the stand-ins in one process.
+//! `sapphirequay demo`: runs every role and stand-in upstreams in one process.
 
 use {
     quay_config::KeyDigest,
@@ -18,23 +18,23 @@
     },
 };
 
-/// Model of the demo.
+/// Model that the stand-in engine serves.
 const MODEL: &str = "demo-model";
 
-/// Plain service of the demo.
+/// Name under which the stand-in service is called.
 const SERVICE: &str = "orders";
 
-/// The order that the demo places.
+/// Request body that the demo sends to the service.
 const ORDER: &str = "12 crates of apples";
 
-/// Key of the demo's account.
+/// Bearer key of the demo's client account.
 const KEY: &str = "demo-key";
 
-/// Longest wait for the first upstream to be known.
-const START_LIMIT: Duration = Duration::from_secs(10);
+/// Time after which the demo fails if the entry knows no upstream.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// An address with a port that the system picks.
-fn any_port() -> SocketAddr {
+/// Loopback address with an ephemeral port.
+fn ephemeral_addr() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
@@ -54,7 +54,7 @@
     }
 }
 
-/// The first configuration document.
+/// Initial configuration document.
 fn document() -> String {
     format!(
         "[platform.owners]\nplatform = [\"operator\"]\ndemo = [\"operator\"]\n\
@@ -65,7 +65,7 @@
     )
 }
 
-/// The processes of the demo; they end with it.
+/// Daemons and stand-ins of the demo, which stop when this value is dropped.
 struct Demo {
     entry: SocketAddr,
     service: Service,
@@ -74,11 +74,11 @@
 }
 
 impl Demo {
-    /// Starts every role and the stand-ins.
+    /// Starts the stand-ins and a daemon for every role.
     fn start() -> Result<Self, Box<dyn Error>> {
         let keys = DevelopmentKeys::generate()?;
-        let engine = Engine::start(any_port(), EngineSettings::default())?;
-        let service = Service::start(any_port(), ServiceSettings::default())?;
+        let engine = Engine::start(ephemeral_addr(), EngineSettings::default())?;
+        let service = Service::start(ephemeral_addr(), ServiceSettings::default())?;
         let ledger = Settings {
             ledger: Some(LedgerSettings {
                 document_text: Some(document().into()),
@@ -87,23 +87,26 @@
             ..settings("ledger-1", &[])
         };
         let ledger = Daemon::start(&ledger, keys.identity(LinkRole::Ledger)?)?;
-        let ledgers = [ledger.link_addr().ok_or("the ledger has no address")?];
-        let before_engine = SidecarSettings {
+        let ledgers = [ledger.link_addr().ok_or("the ledger has no link address")?];
+        let engine_sidecar = SidecarSettings {
             upstream: "engine-1".into(),
             addr: engine.addr(),
             models: vec![MODEL.into()],
             service: None,
             concurrency: 16,
         };
-        let before_service = SidecarSettings {
+        let service_sidecar = SidecarSettings {
             upstream: "orders-1".into(),
             addr: service.addr(),
             models: Vec::new(),
             service: Some(SERVICE.into()),
-            ..before_engine.clone()
+            ..engine_sidecar.clone()
         };
         let mut daemons = vec![ledger];
-        for (name, sidecar) in [("sidecar-1", before_engine), ("sidecar-2", before_service)] {
+        for (name, sidecar) in [
+            ("sidecar-1", engine_sidecar),
+            ("sidecar-2", service_sidecar),
+        ] {
             let settings = Settings {
                 sidecar: Some(sidecar),
                 ..settings(name, &ledgers)
@@ -115,7 +118,9 @@
             ..settings("entry-1", &ledgers)
         };
         let entry = Daemon::start(&entry, keys.identity(LinkRole::Entry)?)?;
-        let addr = entry.callers_addr().ok_or("the entry has no address")?;
+        let addr = entry
+            .callers_addr()
+            .ok_or("the entry has no address for callers")?;
         daemons.push(entry);
         Ok(Self {
             entry: addr,
@@ -125,7 +130,8 @@
         })
     }
 
-    /// Sends a request until the upstreams are known, and opens its answer.
+    /// Sends a request and returns its response. Retries on status 503 until
+    /// the start time-out, since the upstreams may not be known yet.
     fn send(
         &self,
         method: &str,
@@ -143,8 +149,8 @@
             }
             match req.send_string(body) {
                 Ok(response) => return Ok(response),
-                // The entry hears of the upstreams within seconds of its start.
-                Err(ureq::Error::Status(503, _)) if started.elapsed() < START_LIMIT => {
+                // The entry learns the upstreams within seconds of its start.
+                Err(ureq::Error::Status(503, _)) if started.elapsed() < START_TIMEOUT => {
                     thread::sleep(Duration::from_millis(50));
                 }
                 Err(ureq::Error::Status(status, response)) => {
@@ -156,18 +162,26 @@
     }
 
     /// Creates a program and returns its id.
-    fn create(&self, key: &str, body: &str) -> Result<String, Box<dyn Error>> {
+    fn create_program(&self, key: &str, body: &str) -> Result<String, Box<dyn Error>> {
         let headers = [("idempotency-key", key)];
         let text = self
             .send("POST", "/v1/programs", &headers, body)?
             .into_string()?;
         let created: Value = serde_json::from_str(&text)?;
-        let id = created["id"].as_str().ok_or("a program has an id")?;
+        let id = created["id"]
+            .as_str()
+            .ok_or("the response has no program id")?;
         Ok(id.to_owned())
     }
 
-    /// Makes a program's next call and prints the answer as it streams in.
-    fn turn(&self, program: &str, call: &str, messages: &Value) -> Result<String, Box<dyn Error>> {
+    /// Makes a streamed model call of a program, prints the text as it arrives
+    /// and returns it.
+    fn call_model(
+        &self,
+        program: &str,
+        call: &str,
+        messages: &Value,
+    ) -> Result<String, Box<dyn Error>> {
         let key = format!("{program}-{call}");
         let headers = [
             ("sapphirequay-program", program),
@@ -192,8 +206,9 @@
         Ok(answer)
     }
 
-    /// Places an order that must not be placed twice, and sends it again.
-    fn order(&self, program: &str) -> Result<(), Box<dyn Error>> {
+    /// Sends a call marked as not idempotent twice with the same idempotency
+    /// key, and prints how often the service ran it.
+    fn call_service_twice(&self, program: &str) -> Result<(), Box<dyn Error>> {
         let headers = [
             ("sapphirequay-program", program),
             ("sapphirequay-call", "2"),
@@ -213,24 +228,27 @@
     }
 }
 
-/// Runs the demo: a program with turns, a tool and a sub-agent.
+/// Runs the demo: a program with two model calls, a service call and a
+/// sub-agent.
 pub fn run() -> Result<(), Box<dyn Error>> {
     let demo = Demo::start()?;
     println!("entry: http://{}", demo.entry);
-    let program = demo.create("demo", r#"{"budget_tokens":20000}"#)?;
+    let program = demo.create_program("demo", r#"{"budget_tokens":20000}"#)?;
     let mut messages = json!([{"role": "user", "content": "What does shop 12 need?"}]);
-    let answer = demo.turn(&program, "1", &messages)?;
-    demo.order(&program)?;
+    let answer = demo.call_model(&program, "1", &messages)?;
+    demo.call_service_twice(&program)?;
 
-    let grant = format!(r#"{{"parent":"{program}","budget_tokens":5000}}"#);
-    let sub_agent = demo.create("demo-sub-agent", &grant)?;
+    let sub_agent_body = format!(r#"{{"parent":"{program}","budget_tokens":5000}}"#);
+    let sub_agent = demo.create_program("demo-sub-agent", &sub_agent_body)?;
     let question = json!([{"role": "user", "content": "Is the depot's stock enough?"}]);
-    demo.turn(&sub_agent, "1", &question)?;
+    demo.call_model(&sub_agent, "1", &question)?;
 
-    let turns = messages.as_array_mut().ok_or("messages are a list")?;
+    let turns = messages
+        .as_array_mut()
+        .ok_or("the messages are not an array")?;
     turns.push(json!({"role": "assistant", "content": answer}));
     turns.push(json!({"role": "user", "content": "The order is placed. Confirm it."}));
-    demo.turn(&program, "3", &messages)?;
+    demo.call_model(&program, "3", &messages)?;
 
     let path = format!("/v1/programs/{program}");
     demo.send("DELETE", &path, &[], "")?;
--- a/crates/sapphirequay/src/drain.rs
+++ b/crates/sapphirequay/src/drain.rs
@@ -1,4 +1,4 @@
-//! `sapphirequay drain` and `undrain`: marks upstreams that are to leave.
+//! `sapphirequay drain` and `undrain`: set and remove drain marks of upstreams.
 
 use {
     crate::{
@@ -12,16 +12,16 @@
 operator_args!(
     /// Arguments of `drain` and `undrain`.
     DrainArgs {
-        #[options(no_short, meta = "ID", help = "id of the request, to send it again")]
+        #[options(no_short, meta = "ID", help = "change id; reuse it to send the request again")]
         change_id: Option<String>,
-        #[options(no_short, meta = "TEXT", help = "why, for the audit trail")]
+        #[options(no_short, meta = "TEXT", help = "reason recorded in the audit trail")]
         cause: Option<String>,
         #[options(free, required, help = "name of the upstream")]
         upstream: String,
     }
 );
 
-/// Sets the mark, or takes it away.
+/// Sets the drain mark of an upstream, or removes it if `drained` is false.
 pub fn run(args: &DrainArgs, drained: bool) -> Result<(), Box<dyn Error>> {
     let name: Box<str> = args.upstream.as_str().into();
     let action = if drained {
@@ -31,12 +31,16 @@
     };
     let cause = args.cause.as_deref().unwrap_or_default();
     let mut operator = args.connect()?;
-    let (id, accepted) = operator.order(action, args.change_id.as_deref(), cause, false)?;
+    let (id, accepted) = operator.submit(action, args.change_id.as_deref(), cause, false)?;
     print_accepted(args.json, &id, &accepted);
     let known = members::rows(&mut operator)?;
     if drained && !known.iter().any(|row| *row.name == *args.upstream) {
-        // A mark may come before its upstream; a slip of the pen looks the same.
-        eprintln!("warning: no upstream {:?} is announced", args.upstream);
+        // An upstream may be marked before it is announced, so an unknown name
+        // is no error; it may also be a typing error.
+        eprintln!(
+            "warning: no upstream named {:?} is announced",
+            args.upstream
+        );
     }
     Ok(())
 }
--- a/crates/sapphirequay/src/experiment/capacity.rs
+++ b/crates/sapphirequay/src/experiment/capacity.rs
@@ -1,4 +1,5 @@
-//! `sapphirequay experiment capacity`.
+//! `sapphirequay experiment capacity`: measures costs per unit of load and
+//! extrapolates them to the design target.
 
 use {
     gumdrop::Options,
@@ -15,7 +16,7 @@
     json: bool,
 }
 
-/// Measures the slopes and prints them with the figures at the target.
+/// Measures the slopes and prints them with the extrapolated figures.
 pub fn run(args: &CapacityArgs) -> Result<(), Box<dyn Error>> {
     let scratch = env::temp_dir().join(format!("sapphirequay-capacity-{}", process::id()));
     fs::create_dir(&scratch)?;
--- a/crates/sapphirequay/src/experiment/commits/cluster.rs
+++ b/crates/sapphirequay/src/experiment/commits/cluster.rs
@@ -1,4 +1,4 @@
-//! Three hosts on loopback, in one process, with a folder each.
+//! Cluster of hosts on loopback in one process, each with its own data folder.
 
 use {
     super::records::{Records, SetRecord},
@@ -19,30 +19,30 @@
     },
 };
 
-/// Longest wait for a leader.
-const LEADER_LIMIT: Duration = Duration::from_secs(30);
+/// Time after which a commit fails if no replica accepts it as leader.
+const LEADER_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Wait before a group without a leader is asked again.
-const ASK_AGAIN_AFTER: Duration = Duration::from_millis(2);
+/// Delay after every replica of a group has rejected a command.
+const LEADER_RETRY_DELAY: Duration = Duration::from_millis(2);
 
-/// One replica of a group.
+/// Mailbox of one replica of a group.
 pub type Replica = Mailbox<GroupMsg<Records>>;
 
-/// Hosts and their replicas.
+/// Running hosts and their replicas.
 pub struct Cluster {
     hosts: Vec<GroupHost>,
-    /// Keeps the link threads up.
+    /// Keeps the link threads running.
     links: Vec<Links>,
-    /// By group, then by host.
+    /// Replicas, indexed by group and then by host.
     groups: Vec<Vec<Replica>>,
 }
 
-/// An address with a free port.
+/// Loopback address with a free port.
 fn free_addr() -> std::io::Result<SocketAddr> {
     UdpSocket::bind("127.0.0.1:0")?.local_addr()
 }
 
-/// Links that hand streams about groups to the host in `serving`.
+/// Starts links that pass incoming quorum requests to the host in `serving`.
 fn start_links(
     keys: &DevelopmentKeys,
     addr: SocketAddr,
@@ -65,7 +65,7 @@
 }
 
 impl Cluster {
-    /// Starts `hosts` hosts with a replica of each of `groups` groups.
+    /// Starts `hosts` hosts, each with a replica of each of `groups` groups.
     pub fn start(
         dir: &Path,
         hosts: u64,
@@ -110,12 +110,12 @@
         Ok(cluster)
     }
 
-    /// The replicas of a group.
+    /// Replicas of a group; `slot` wraps around the number of groups.
     pub fn group(&self, slot: usize) -> &[Replica] {
         &self.groups[slot % self.groups.len()]
     }
 
-    /// Bytes that all hosts have sent to each other.
+    /// Total number of bytes that the hosts have sent to each other.
     pub fn sent_bytes(&self) -> u64 {
         self.hosts.iter().map(GroupHost::sent_bytes).sum()
     }
@@ -128,28 +128,33 @@
     }
 }
 
-/// Sets a record at whoever leads; returns the replica that took it.
-pub fn set(replicas: &[Replica], hint: usize, command: &SetRecord) -> Result<usize, String> {
+/// Commits a record through the leader and returns the index of its replica.
+/// `hint` is the replica to try first.
+pub fn commit_record(
+    replicas: &[Replica],
+    hint: usize,
+    command: &SetRecord,
+) -> Result<usize, String> {
     let started = Instant::now();
     let mut slot = hint;
     loop {
         let command = command.clone();
-        let asked = replicas[slot].ask(|reply| GroupMsg::Propose { command, reply });
-        match asked {
+        let result = replicas[slot].ask(|reply| GroupMsg::Propose { command, reply });
+        match result {
             Some(Ok(_)) => return Ok(slot),
             Some(Err(GroupError::NotLeader(_) | GroupError::Unavailable | GroupError::Unknown))
             | None => slot = (slot + 1) % replicas.len(),
         }
-        if started.elapsed() > LEADER_LIMIT {
-            return Err("no leader".into());
+        if started.elapsed() > LEADER_TIMEOUT {
+            return Err("no leader accepted the command within the time-out".into());
         }
         if slot == hint {
-            thread::sleep(ASK_AGAIN_AFTER);
+            thread::sleep(LEADER_RETRY_DELAY);
         }
     }
 }
 
-/// Bytes of all files below a folder.
+/// Total size in bytes of all files below a folder.
 pub fn folder_bytes(dir: &Path) -> std::io::Result<u64> {
     let mut bytes = 0;
     for entry in fs::read_dir(dir)? {
--- a/crates/sapphirequay/src/experiment/commits/measure.rs
+++ b/crates/sapphirequay/src/experiment/commits/measure.rs
@@ -1,8 +1,8 @@
-//! Single measurements.
+//! Measurements of syncs, commits, elections and recovery.
 
 use {
     super::{
-        cluster::{Cluster, folder_bytes, set},
+        cluster::{Cluster, commit_record, folder_bytes},
         records::SetRecord,
     },
     hdrhistogram::Histogram,
@@ -22,52 +22,53 @@
     },
 };
 
-/// Syncs that the disk is measured with.
+/// Number of writes with sync per thread in the disk measurement.
 const SYNCS: u32 = 500;
 
-/// Threads that fill a log.
-const FILLERS: u64 = 64;
+/// Number of threads that write the log before a recovery.
+const WRITERS: u64 = 64;
 
-/// A load to measure.
+/// Parameters of a commit load.
 #[derive(Debug, Clone, Copy)]
 pub struct Load {
-    /// Hosts, each with a replica of every group.
+    /// Number of hosts, each with a replica of every group.
     pub hosts: u64,
-    /// Groups that programs are spread over.
+    /// Number of groups that the programs are distributed over.
     pub groups: u16,
-    /// Programs that commit one record after another.
+    /// Number of programs that concurrently commit one record after another.
     pub programs: usize,
-    /// Whether each commit has a sync of its own: the baseline.
+    /// Whether each commit is synced separately, as a baseline for batching.
     pub sync_each: bool,
-    /// Time to measure.
+    /// Duration of the measurement.
     pub span: Duration,
-    /// Bytes of a record.
+    /// Size of a record in bytes.
     pub record_bytes: usize,
 }
 
-/// Microseconds of a span.
+/// Converts a duration to microseconds.
 fn micros(span: Duration) -> u64 {
     u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// A histogram of microseconds.
+/// Creates a histogram for microseconds with three significant digits.
 fn histogram() -> Result<Histogram<u64>, Box<dyn Error>> {
     Ok(Histogram::new(3)?)
 }
 
-/// Milliseconds at a quantile of a histogram of microseconds.
+/// Quantile in milliseconds of a histogram of microseconds.
 #[allow(clippy::cast_precision_loss)] // Times are far below 2^52 microseconds.
 fn quantile_ms(histogram: &Histogram<u64>, quantile: f64) -> f64 {
     histogram.value_at_quantile(quantile) as f64 / 1_000.0
 }
 
-/// A count for each unit of another.
+/// Ratio of two counts, rounded to one decimal place.
 #[allow(clippy::cast_precision_loss)] // Counts are far below 2^52.
 fn ratio(count: u64, of: u64) -> f64 {
     (count as f64 / of.max(1) as f64 * 10.0).round() / 10.0
 }
 
-/// Measures writes of one record and their syncs, by `files` threads at once.
+/// Measures a write of one record with its sync, by `files` concurrent threads
+/// with a file each.
 pub fn measure_syncs(
     dir: &Path,
     files: usize,
@@ -77,12 +78,12 @@
     let threads: Vec<_> = (0..files)
         .map(|number| {
             let folder = folder.clone();
-            thread::spawn(move || sync_often(&folder, number, record_bytes))
+            thread::spawn(move || time_syncs(&folder, number, record_bytes))
         })
         .collect();
     let mut times = histogram()?;
     for thread in threads {
-        times.add(&thread.join().map_err(|_| "a thread died")??)?;
+        times.add(&thread.join().map_err(|_| "a measuring thread panicked")??)?;
     }
     Ok(json!({
         "files_at_once": files,
@@ -92,30 +93,30 @@
     }))
 }
 
-/// Times of writes of one record and their syncs.
-fn sync_often(
+/// Writes and syncs a record `SYNCS` times; returns the durations.
+fn time_syncs(
     folder: &DiskFolder,
     number: usize,
     record_bytes: usize,
 ) -> Result<Histogram<u64>, String> {
-    let text = |err: &dyn std::fmt::Display| err.to_string();
+    let to_text = |err: &dyn std::fmt::Display| err.to_string();
     let name = format!("sync-test-{number}");
-    let mut file = folder.create(&name).map_err(|err| text(&err))?;
+    let mut file = folder.create(&name).map_err(|err| to_text(&err))?;
     let record = vec![1; record_bytes];
-    let mut times = Histogram::new(3).map_err(|err| text(&err))?;
+    let mut times = Histogram::new(3).map_err(|err| to_text(&err))?;
     for _ in 0..SYNCS {
         let started = Instant::now();
-        file.write(&record).map_err(|err| text(&err))?;
-        file.sync().map_err(|err| text(&err))?;
+        file.write(&record).map_err(|err| to_text(&err))?;
+        file.sync().map_err(|err| to_text(&err))?;
         times
             .record(micros(started.elapsed()))
-            .map_err(|err| text(&err))?;
+            .map_err(|err| to_text(&err))?;
     }
-    folder.remove(&name).map_err(|err| text(&err))?;
+    folder.remove(&name).map_err(|err| to_text(&err))?;
     Ok(times)
 }
 
-/// Limits of the groups that are measured.
+/// Limits of the measured groups.
 fn limits(sync_each: bool) -> GroupLimits {
     GroupLimits {
         sync_each,
@@ -133,7 +134,7 @@
         limits(load.sync_each),
     )?);
     for group in 0..usize::from(load.groups) {
-        set(cluster.group(group), 0, &record(0, load.record_bytes))?;
+        commit_record(cluster.group(group), 0, &record(0, load.record_bytes))?;
     }
     let (disk, wire) = (folder_bytes(&dir)?, cluster.sent_bytes());
     let cpu = cpu_micros()?;
@@ -149,8 +150,8 @@
     stop.store(true, Ordering::Relaxed);
     let mut times = histogram()?;
     for thread in threads {
-        let of_thread = thread.join().map_err(|_| "a program's thread died")??;
-        times.add(&of_thread)?;
+        let thread_times = thread.join().map_err(|_| "a program's thread panicked")??;
+        times.add(&thread_times)?;
     }
     let span = started.elapsed();
     let commits = times.len();
@@ -173,18 +174,18 @@
     }))
 }
 
-/// Processor time of this process: all hosts and the programs.
+/// CPU time of this process, which runs all hosts and programs, in microseconds.
 fn cpu_micros() -> Result<u64, Box<dyn Error>> {
     const TICK_US: u64 = 10_000;
     let stat = fs::read_to_string("/proc/self/stat")?;
-    // The name, in parentheses, may hold spaces.
+    // The process name, in parentheses, may contain spaces.
     let after_name = stat.rsplit(')').next().unwrap_or_default();
     let fields = after_name.split_whitespace().skip(11).take(2);
     let ticks: Result<Vec<u64>, _> = fields.map(str::parse).collect();
     Ok(ticks?.into_iter().sum::<u64>() * TICK_US)
 }
 
-/// A record of a program.
+/// Command that sets the record of a program to `bytes` bytes.
 fn record(program: u64, bytes: usize) -> SetRecord {
     SetRecord {
         program,
@@ -192,7 +193,7 @@
     }
 }
 
-/// Commits one record after another; the times that it took.
+/// Commits one record after another until `stop` is set; returns the durations.
 fn commit_until(
     cluster: &Cluster,
     program: usize,
@@ -205,7 +206,7 @@
     let mut leader = 0;
     while !stop.load(Ordering::Relaxed) {
         let started = Instant::now();
-        leader = set(replicas, leader, &command)?;
+        leader = commit_record(replicas, leader, &command)?;
         times
             .record(micros(started.elapsed()))
             .map_err(|err| err.to_string())?;
@@ -213,7 +214,7 @@
     Ok(times)
 }
 
-/// Measures the time from the loss of a leader to the next commit.
+/// Measures the time from stopping a leader to the next commit.
 pub fn measure_elections(
     dir: &Path,
     count: u32,
@@ -224,10 +225,10 @@
         let dir = dir.join("election");
         let cluster = Cluster::start(&dir, 3, 1, limits(false))?;
         let replicas = cluster.group(0);
-        let leader = set(replicas, 0, &record(0, record_bytes))?;
+        let leader = commit_record(replicas, 0, &record(0, record_bytes))?;
         replicas[leader].send(GroupMsg::Stop);
         let started = Instant::now();
-        set(replicas, (leader + 1) % 3, &record(1, record_bytes))?;
+        commit_record(replicas, (leader + 1) % 3, &record(1, record_bytes))?;
         times.record(micros(started.elapsed()))?;
         cluster.stop();
         fs::remove_dir_all(&dir)?;
@@ -239,35 +240,35 @@
     }))
 }
 
-/// Measures the time from the start of a host to its first answer, against the
-/// number of programs in its log.
+/// Measures the time from the start of a host to its first commit, with a log
+/// that holds records of `programs` programs.
 pub fn measure_recovery(
     dir: &Path,
     programs: u64,
     record_bytes: usize,
 ) -> Result<Value, Box<dyn Error>> {
     let dir = dir.join("recovery");
-    // No snapshot: the whole log is read and applied.
+    // Snapshots are disabled, so that recovery reads and applies the whole log.
     let limits = GroupLimits {
         snapshot_bytes: usize::MAX,
         snapshot_entries: u64::MAX,
         ..GroupLimits::default()
     };
     let cluster = Arc::new(Cluster::start(&dir, 1, 1, limits)?);
-    let threads: Vec<_> = (0..FILLERS)
-        .map(|filler| {
+    let threads: Vec<_> = (0..WRITERS)
+        .map(|writer| {
             let cluster = Arc::clone(&cluster);
             thread::spawn(move || {
-                let own = (0..programs).filter(|program| program % FILLERS == filler);
+                let own = (0..programs).filter(|program| program % WRITERS == writer);
                 for program in own {
-                    set(cluster.group(0), 0, &record(program, record_bytes))?;
+                    commit_record(cluster.group(0), 0, &record(program, record_bytes))?;
                 }
                 Ok::<(), String>(())
             })
         })
         .collect();
     for thread in threads {
-        thread.join().map_err(|_| "a filler died")??;
+        thread.join().map_err(|_| "a writer thread panicked")??;
     }
     cluster.stop();
     drop(cluster);
@@ -275,7 +276,7 @@
     let started = Instant::now();
     let cluster = Cluster::start(&dir, 1, 1, limits)?;
     let opened = started.elapsed();
-    set(cluster.group(0), 0, &record(0, record_bytes))?;
+    commit_record(cluster.group(0), 0, &record(0, record_bytes))?;
     let served = started.elapsed();
     cluster.stop();
     fs::remove_dir_all(&dir)?;
--- a/crates/sapphirequay/src/experiment/commits/mod.rs
+++ b/crates/sapphirequay/src/experiment/commits/mod.rs
@@ -1,4 +1,4 @@
-//! `sapphirequay experiment commits`: commits, elections and recovery, measured
+//! `sapphirequay experiment commits`: measures commits, elections and recovery
 //! with real files and sockets.
 
 mod cluster;
@@ -18,13 +18,13 @@
     },
 };
 
-/// Concurrent programs of a load.
+/// Numbers of concurrent programs to measure.
 const PROGRAMS: [usize; 3] = [1, 16, 256];
 
-/// Groups that a load is spread over.
+/// Numbers of groups to distribute the programs over.
 const GROUPS: [u16; 2] = [1, 4];
 
-/// Programs in the log of a recovery.
+/// Numbers of programs in the log for the recovery measurements.
 const RECOVERIES: [u64; 4] = [10_000, 40_000, 80_000, 160_000];
 
 /// Arguments of `experiment commits`.
@@ -32,27 +32,33 @@
 pub struct CommitsArgs {
     #[options(help = "print this help")]
     help: bool,
-    #[options(help = "folder on the disk to measure; its content goes", meta = "DIR")]
+    #[options(
+        help = "folder on the disk to measure; its subfolder commits-experiment is erased",
+        meta = "DIR"
+    )]
     dir: Option<PathBuf>,
-    #[options(help = "seconds a load", default = "3")]
+    #[options(help = "duration of each load in seconds", default = "3")]
     seconds: u64,
-    #[options(help = "bytes of a record", default = "512")]
+    #[options(help = "size of a record in bytes", default = "512")]
     record_bytes: usize,
-    #[options(help = "elections to measure", default = "5")]
+    #[options(help = "number of elections to measure", default = "5")]
     elections: u32,
-    #[options(help = "measure this many programs only, and nothing else", meta = "N")]
+    #[options(
+        help = "measure only syncs and loads with this number of programs",
+        meta = "N"
+    )]
     programs: Option<usize>,
     #[options(help = "print JSON instead of lines")]
     json: bool,
 }
 
-/// Runs every measurement and prints it.
+/// Runs the measurements in a scratch folder and prints the results.
 pub fn run(args: &CommitsArgs) -> Result<(), Box<dyn Error>> {
     let dir = match &args.dir {
         Some(dir) => dir.join("commits-experiment"),
         None => std::env::temp_dir().join(format!("sapphirequay-commits-{}", process::id())),
     };
-    // What a run that was cut short has left would be taken for its group.
+    // Data left by an interrupted run would be recovered as the new groups' log.
     if dir.exists() {
         fs::remove_dir_all(&dir)?;
     }
@@ -66,14 +72,15 @@
     Ok(())
 }
 
-/// Prints a line of the report, unless JSON is asked for.
-fn tell(args: &CommitsArgs, what: &str, value: &Value) {
+/// Prints one result as a line, unless JSON output is selected.
+fn print_result(args: &CommitsArgs, name: &str, value: &Value) {
     if !args.json {
-        println!("{what} {value}");
+        println!("{name} {value}");
     }
 }
 
-/// Every load: three hosts with one sync each and batched, then one host alone.
+/// Loads to measure: three hosts with a sync per commit and with batched syncs,
+/// then a single host.
 fn loads(args: &CommitsArgs) -> Vec<Load> {
     let load = |hosts, groups, programs, sync_each| Load {
         hosts,
@@ -89,36 +96,36 @@
             loads.extend([true, false].map(|sync_each| load(3, groups, programs, sync_each)));
         }
     }
-    // What a commit would cost if no other host had to hold it.
+    // Cost of a commit without replication.
     loads.extend(PROGRAMS.map(|programs| load(1, 1, programs, false)));
     loads.retain(|load| args.programs.is_none_or(|only| only == load.programs));
     loads
 }
 
-/// Runs every measurement.
+/// Runs the measurements and returns the report.
 fn measure(args: &CommitsArgs, dir: &Path) -> Result<Value, Box<dyn Error>> {
     let mut syncs = Vec::new();
-    // Three replicas on one disk sync at the same time.
+    // Three concurrent files match three replicas that share one disk.
     for files in [1, 3] {
         let measured = measure_syncs(dir, files, args.record_bytes)?;
-        tell(args, "disk_sync", &measured);
+        print_result(args, "disk_sync", &measured);
         syncs.push(measured);
     }
     let mut measured_loads = Vec::new();
     for load in loads(args) {
         let measured = measure_load(dir, load)?;
-        tell(args, "load", &measured);
+        print_result(args, "load", &measured);
         measured_loads.push(measured);
     }
     if args.programs.is_some() {
         return Ok(json!({ "disk_sync": syncs, "loads": measured_loads }));
     }
     let elections = measure_elections(dir, args.elections, args.record_bytes)?;
-    tell(args, "elections", &elections);
+    print_result(args, "elections", &elections);
     let mut recoveries = Vec::new();
     for programs in RECOVERIES {
         let measured = measure_recovery(dir, programs, args.record_bytes)?;
-        tell(args, "recovery", &measured);
+        print_result(args, "recovery", &measured);
         recoveries.push(measured);
     }
     Ok(json!({
--- a/crates/sapphirequay/src/experiment/commits/records.rs
+++ b/crates/sapphirequay/src/experiment/commits/records.rs
@@ -1,4 +1,4 @@
-//! The state machine that the measurement replicates.
+//! State machine replicated in the commit measurements.
 
 use {
     indexmap::IndexMap,
@@ -7,16 +7,16 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Keeps the latest record of each program.
+/// Latest record of each program.
 #[derive(Debug, Default)]
 pub struct Records(IndexMap<u64, Box<[u8]>>);
 
-/// Sets the record of a program.
+/// Command that replaces the record of a program.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct SetRecord {
-    /// The program.
+    /// Number of the program.
     pub program: u64,
-    /// Its record.
+    /// Content of the record.
     #[serde(with = "quay_types::bytes")]
     pub record: Box<[u8]>,
 }
--- a/crates/sapphirequay/src/experiment/faults.rs
+++ b/crates/sapphirequay/src/experiment/faults.rs
@@ -1,4 +1,5 @@
-//! `sapphirequay experiment faults`.
+//! `sapphirequay experiment faults`: checks the system's promises under seeded
+//! fault injection.
 
 use {
     gumdrop::Options,
@@ -13,17 +14,17 @@
     help: bool,
     #[options(help = "seed of every random choice", default = "1")]
     seed: u64,
-    #[options(help = "steps for each promise", default = "100000")]
+    #[options(help = "simulation steps per promise", default = "100000")]
     steps: u64,
-    #[options(help = "only this promise", meta = "NAME")]
+    #[options(help = "check only this promise", meta = "NAME")]
     promise: Option<String>,
-    #[options(help = "make one decision wrong on purpose, which the run must see")]
+    #[options(help = "inject a defect into one decision; the run must detect it")]
     mutated: bool,
     #[options(help = "print JSON instead of a table")]
     json: bool,
 }
 
-/// Runs the trials and prints their report; fails if a promise broke.
+/// Runs the simulation and prints its report; fails if a promise is violated.
 pub fn run(args: &FaultsArgs) -> Result<(), Box<dyn Error>> {
     let decisions = if args.mutated {
         Decisions::Mutated
@@ -39,11 +40,11 @@
     if report.held() {
         Ok(())
     } else {
-        Err("a promise broke".into())
+        Err("a promise was violated".into())
     }
 }
 
-/// The promises that were asked for.
+/// Selects the promises to check: one by name, or all.
 fn promises(args: &FaultsArgs) -> Result<Vec<Promise>, Box<dyn Error>> {
     let Some(name) = &args.promise else {
         return Ok(Promise::ALL.to_vec());
@@ -54,7 +55,7 @@
     let promise = known.ok_or_else(|| {
         let names: Vec<_> = Promise::ALL.iter().map(|promise| promise.name()).collect();
         format!(
-            "there is no promise {name:?}; the promises are {}",
+            "unknown promise {name:?}; known promises: {}",
             names.join(", ")
         )
     })?;
--- a/crates/sapphirequay/src/experiment/mod.rs
+++ b/crates/sapphirequay/src/experiment/mod.rs
@@ -1,4 +1,4 @@
-//! `sapphirequay experiment`: seeded experiments over the decision logic.
+//! `sapphirequay experiment`: simulations and measurements of the system.
 
 mod capacity;
 mod commits;
@@ -17,22 +17,22 @@
     command: Option<ExperimentCommand>,
 }
 
-/// Which experiment to run; one module each.
+/// Subcommands of `experiment`, one module each.
 #[derive(Debug, Options)]
 enum ExperimentCommand {
-    #[options(help = "measure slopes and work out the size to design for")]
+    #[options(help = "measure the cost per unit of load and extrapolate to the design target")]
     Capacity(capacity::CapacityArgs),
-    #[options(help = "measure commits of three replicas on loopback with real syncs")]
+    #[options(help = "measure commits of three replicas on loopback with real disk syncs")]
     Commits(commits::CommitsArgs),
-    #[options(help = "attack the promises with seeded faults")]
+    #[options(help = "check the promises under seeded fault injection")]
     Faults(faults::FaultsArgs),
-    #[options(help = "compare scheduling policies over a small engine model")]
+    #[options(help = "compare scheduling policies on a simulated engine")]
     Policy(policy::PolicyArgs),
-    #[options(help = "measure how configuration and directory reach the daemons")]
+    #[options(help = "simulate how configuration and directory spread to the daemons")]
     Spread(spread::SpreadArgs),
 }
 
-/// Runs the experiment that was asked for.
+/// Dispatches to the given experiment.
 pub fn run(args: ExperimentArgs) -> Result<(), Box<dyn Error>> {
     match args.command {
         Some(ExperimentCommand::Capacity(args)) => capacity::run(&args),
@@ -40,6 +40,6 @@
         Some(ExperimentCommand::Faults(args)) => faults::run(&args),
         Some(ExperimentCommand::Policy(args)) => policy::run(&args),
         Some(ExperimentCommand::Spread(args)) => spread::run(&args),
-        None => Err("an experiment is needed; see --help".into()),
+        None => Err("missing subcommand: name of an experiment; see --help".into()),
     }
 }
--- a/crates/sapphirequay/src/experiment/policy.rs
+++ b/crates/sapphirequay/src/experiment/policy.rs
@@ -1,4 +1,5 @@
-//! `sapphirequay experiment policy`.
+//! `sapphirequay experiment policy`: compares scheduling policies on a simulated
+//! engine.
 
 use {
     gumdrop::Options,
@@ -16,11 +17,14 @@
     #[options(help = "print JSON instead of tables")]
     json: bool,
     #[options(
-        help = "only policies whose name contains one of these, separated by commas",
+        help = "run only policies whose name contains one of these comma-separated texts",
         meta = "TEXT"
     )]
     only: String,
-    #[options(help = "only scenarios whose name contains this", meta = "TEXT")]
+    #[options(
+        help = "run only scenarios whose name contains this text",
+        meta = "TEXT"
+    )]
     within: String,
     #[options(help = "write a plot to this SVG file", meta = "FILE")]
     plot: Option<PathBuf>,
--- a/crates/sapphirequay/src/experiment/spread/configuration.rs
+++ b/crates/sapphirequay/src/experiment/spread/configuration.rs
@@ -1,7 +1,8 @@
-//! Time from accepted to in force, and bytes a change.
+//! Simulates how configuration changes reach the subscribers: time from
+//! acceptance to activation, and bytes per change.
 
 use {
-    super::{frame_bytes, millis, queue::Queue},
+    super::{frame_bytes, millis, queue::EventQueue},
     hdrhistogram::Histogram,
     quay_config::{
         Action, ChangeId, ConfigAnswer, ConfigCommand, ConfigQuery, ConfigStore, KeyDigest, Origin,
@@ -21,35 +22,37 @@
     },
 };
 
-/// Interval at which a daemon asks.
-const POLL_EVERY: Duration = Duration::from_secs(1);
+/// Interval at which a daemon polls the leader.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Mean time between two changes.
-const CHANGE_EVERY: Duration = Duration::from_secs(10);
+const CHANGE_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Least and greatest delay of a message between data centres.
+/// Range of the delay of a message between data centres, in milliseconds.
 const DELAY_MS: std::ops::Range<f64> = 0.5..1.5;
 
-/// Name of a daemon, as long as they are in use.
+/// Name of a daemon, with a typical length since it adds to the bytes of a poll.
 const DAEMON: &str = "sidecar-agent-llm-000";
 
-/// What was measured with one number of subscribers.
+/// Results for one number of subscribers.
 #[derive(Debug, Serialize)]
 pub struct SpreadRow {
     subscribers: usize,
     changes: u32,
     document_bytes: usize,
-    /// Times from accepted to in force, over all changes and subscribers.
+    /// Milliseconds from acceptance to activation, over all changes and
+    /// subscribers.
     in_force_p50_ms: u64,
     in_force_p99_ms: u64,
     in_force_max_ms: u64,
-    /// Bytes of the answer that carries one change.
+    /// Mean size of a reply that carries changes, in bytes.
     change_bytes_mean: u64,
-    /// Bytes a second to and from one daemon while nothing changes.
+    /// Bytes per second to and from one daemon while nothing changes.
     idle_bytes_per_s: u64,
-    /// Bytes of the answer to a daemon that missed 500 changes.
+    /// Bytes of the reply, a snapshot, to a daemon that missed 500 changes.
     snapshot_bytes: u64,
-    /// Processor time of one check of the document; differs between runs.
+    /// Duration of one check of the document. Not serialized, since it differs
+    /// between runs.
     #[serde(skip)]
     check: Duration,
 }
@@ -74,31 +77,31 @@
     }
 }
 
-/// What happens.
+/// Events of the simulation.
 enum Event {
     /// A change is accepted.
     Change(u32),
-    /// A subscriber's question reaches the leader.
-    Asked(usize, Poll),
-    /// The answer reaches the subscriber.
-    Answered(usize, Box<Update>),
-    /// A subscriber asks.
-    Ask(usize),
+    /// The poll of a subscriber reaches the leader.
+    PollReceived(usize, Poll),
+    /// The reply reaches the subscriber.
+    UpdateReceived(usize, Box<Update>),
+    /// A subscriber sends a poll.
+    SendPoll(usize),
 }
 
-/// A daemon.
+/// Subscribed daemon.
 struct Daemon {
     subscriber: Subscriber,
     pacer: Pacer,
 }
 
-/// The group, its daemons and what was counted.
-struct Spread {
+/// State of the simulation: control group, daemons and counters.
+struct Simulation {
     rng: ChaCha8Rng,
-    queue: Queue<Event>,
+    queue: EventQueue<Event>,
     store: ConfigStore,
     daemons: Vec<Daemon>,
-    /// When each index was accepted.
+    /// Index and time of each accepted change.
     accepted: Vec<(ConfigIndex, Time)>,
     in_force: Histogram<u64>,
     change_bytes: u64,
@@ -107,30 +110,30 @@
     idle_answers: u64,
 }
 
-/// Measures with a number of subscribers.
+/// Runs the simulation with a number of subscribers.
 pub fn run(
     seed: u64,
     subscribers: usize,
     accounts: u32,
     changes: u32,
 ) -> Result<SpreadRow, Box<dyn Error>> {
-    let mut spread = Spread::new(seed, subscribers, accounts)?;
+    let mut simulation = Simulation::new(seed, subscribers, accounts)?;
     let mut at = Time::from_millis(5_000);
     for number in 0..changes {
-        spread.queue.push(at, Event::Change(number));
-        at = at + CHANGE_EVERY.mul_f64(spread.rng.random_range(0.5..1.5));
+        simulation.queue.push(at, Event::Change(number));
+        at = at + CHANGE_INTERVAL.mul_f64(simulation.rng.random_range(0.5..1.5));
     }
     let end = at + Duration::from_secs(5);
-    while let Some((now, event)) = spread.queue.pop(end) {
-        spread.handle(now, event)?;
+    while let Some((now, event)) = simulation.queue.pop(end) {
+        simulation.handle(now, event)?;
     }
-    for daemon in &spread.daemons {
-        assert_eq!(daemon.subscriber.image(), spread.store.image());
+    for daemon in &simulation.daemons {
+        assert_eq!(daemon.subscriber.image(), simulation.store.image());
     }
-    spread.row(changes)
+    simulation.row(changes)
 }
 
-/// A document with accounts of the length that is usual.
+/// Document with a number of accounts of typical size.
 fn document(accounts: u32) -> String {
     let mut text = String::from(
         "[platform.owners]\nplatform = [\"root\"]\nordering = [\"ada\"]\n[platform.models.agent-llm]\n",
@@ -144,23 +147,24 @@
     text
 }
 
-impl Spread {
-    /// A group with a document, and daemons that have none yet.
+impl Simulation {
+    /// Creates a control group that has the document, and daemons without any
+    /// configuration.
     fn new(seed: u64, subscribers: usize, accounts: u32) -> Result<Self, Box<dyn Error>> {
         let mut store = ConfigStore::default();
-        let found = order(
+        let bootstrap = command(
             "found",
             Origin::Process,
             Action::Bootstrap(document(accounts).into()),
         );
-        let accepted = store.apply(LogIndex(1), Epoch(1), found)?;
+        let accepted = store.apply(LogIndex(1), Epoch(1), bootstrap)?;
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut queue = Queue::new();
+        let mut queue = EventQueue::new();
         let daemons = (0..subscribers).map(|number| {
-            let mut pacer = Pacer::new(POLL_EVERY);
+            let mut pacer = Pacer::new(POLL_INTERVAL);
             queue.push(
                 Time::ZERO + pacer.next_wait(rng.random()),
-                Event::Ask(number),
+                Event::SendPoll(number),
             );
             Daemon {
                 subscriber: Subscriber::default(),
@@ -181,27 +185,27 @@
         })
     }
 
-    /// When a message that is sent now arrives.
+    /// Arrival time of a message sent at `now`, with a random delay.
     fn arrival(&mut self, now: Time) -> Time {
         now + Duration::from_secs_f64(self.rng.random_range(DELAY_MS) / 1_000.0)
     }
 
-    /// Does what an event asks for.
+    /// Processes one event.
     fn handle(&mut self, now: Time, event: Event) -> Result<(), Box<dyn Error>> {
         match event {
             Event::Change(number) => self.change(now, number)?,
-            Event::Ask(daemon) => {
+            Event::SendPoll(daemon) => {
                 let poll = self.daemons[daemon].subscriber.poll();
                 let at = self.arrival(now);
-                self.queue.push(at, Event::Asked(daemon, poll));
+                self.queue.push(at, Event::PollReceived(daemon, poll));
             }
-            Event::Asked(daemon, poll) => {
+            Event::PollReceived(daemon, poll) => {
                 let update = self.answer(poll)?;
                 let at = self.arrival(now);
                 self.queue
-                    .push(at, Event::Answered(daemon, Box::new(update)));
+                    .push(at, Event::UpdateReceived(daemon, Box::new(update)));
             }
-            Event::Answered(daemon, update) => self.learn(now, daemon, *update)?,
+            Event::UpdateReceived(daemon, update) => self.receive_update(now, daemon, *update)?,
         }
         Ok(())
     }
@@ -223,20 +227,21 @@
             base,
             text: (changed.join("\n") + "\n").into(),
         };
-        let order = order(&format!("c-{number}"), Origin::Operator, action);
-        let accepted = self.store.apply(LogIndex(1), Epoch(1), order)?;
+        let command = command(&format!("c-{number}"), Origin::Operator, action);
+        let accepted = self.store.apply(LogIndex(1), Epoch(1), command)?;
         self.accepted.push((accepted.index, now));
         Ok(())
     }
 
-    /// The leader's answer; its bytes are counted with those of the question.
+    /// Returns the leader's reply to a poll and counts its bytes. For a reply
+    /// without changes the bytes of the poll are counted too.
     fn answer(&mut self, poll: Poll) -> Result<Update, Box<dyn Error>> {
-        let question = LinkRequest::Control(ControlRequest::Poll {
+        let request = LinkRequest::Control(ControlRequest::Poll {
             daemon: DAEMON.into(),
             poll,
         });
         let ConfigAnswer::Update(update) = self.store.query(&ConfigQuery::Poll(poll)) else {
-            return Err("the store answered something else".into());
+            return Err("unexpected answer from the configuration store".into());
         };
         let bytes = frame_bytes(&ControlReply::Update(update.clone()))?;
         match &update {
@@ -245,7 +250,7 @@
                 self.change_answers += 1;
             }
             Update::Current(_) => {
-                self.idle_bytes += bytes + frame_bytes(&question)?;
+                self.idle_bytes += bytes + frame_bytes(&request)?;
                 self.idle_answers += 1;
             }
             _ => {}
@@ -253,14 +258,19 @@
         Ok(update)
     }
 
-    /// A subscriber takes an answer.
-    fn learn(&mut self, now: Time, daemon: usize, update: Update) -> Result<(), Box<dyn Error>> {
+    /// Delivers a reply to a subscriber and records the changes it activates.
+    fn receive_update(
+        &mut self,
+        now: Time,
+        daemon: usize,
+        update: Update,
+    ) -> Result<(), Box<dyn Error>> {
         let random = self.rng.random();
         let daemon_state = &mut self.daemons[daemon];
         let before = daemon_state.subscriber.image().index;
         let event = daemon_state.subscriber.receive(update, true);
         let next = now + daemon_state.pacer.next_wait(random);
-        self.queue.push(next, Event::Ask(daemon));
+        self.queue.push(next, Event::SendPoll(daemon));
         if let SubscriberEvent::Activated(index) = event
             && before > ConfigIndex(0)
         {
@@ -275,15 +285,15 @@
         Ok(())
     }
 
-    /// What was measured.
+    /// Summarizes the measurements.
     fn row(&self, changes: u32) -> Result<SpreadRow, Box<dyn Error>> {
         let image = self.store.image();
-        let far = ConfigAnswer::Update(Update::Snapshot(Box::new(image.clone())));
+        let snapshot = ConfigAnswer::Update(Update::Snapshot(Box::new(image.clone())));
         let began = Instant::now();
         let checked = check(&image.document());
         let check = began.elapsed();
         checked.map_err(|faults| faults[0].clone())?;
-        let polls_per_s = 1.0 / POLL_EVERY.as_secs_f64();
+        let polls_per_s = 1.0 / POLL_INTERVAL.as_secs_f64();
         let idle = self.idle_bytes / self.idle_answers.max(1);
         Ok(SpreadRow {
             subscribers: self.daemons.len(),
@@ -303,14 +313,14 @@
                 clippy::cast_precision_loss
             )]
             idle_bytes_per_s: (idle as f64 * polls_per_s) as u64,
-            snapshot_bytes: frame_bytes(&far)?,
+            snapshot_bytes: frame_bytes(&snapshot)?,
             check,
         })
     }
 }
 
-/// An order of an author who owns every section.
-fn order(id: &str, origin: Origin, action: Action) -> ConfigCommand {
+/// Command of the author `ada`, who owns the changed section.
+fn command(id: &str, origin: Origin, action: Action) -> ConfigCommand {
     ConfigCommand {
         id: ChangeId(id.into()),
         author: "ada".into(),
--- a/crates/sapphirequay/src/experiment/spread/directory.rs
+++ b/crates/sapphirequay/src/experiment/spread/directory.rs
@@ -1,7 +1,9 @@
-//! Bytes of the directory, and the ways of keeping it over a leader change.
+//! Simulates the network cost of the directory of upstreams, and compares three
+//! ways of keeping it across a change of leader: replicated in the log, rebuilt
+//! from heartbeats, or sent to every replica.
 
 use {
-    super::{frame_bytes, millis, queue::Queue},
+    super::{frame_bytes, millis, queue::EventQueue},
     quay_members::{
         Directory, DirectoryView, HostContact, MembersReply, MembersRequest, MembersSettings, Pacer,
     },
@@ -15,49 +17,51 @@
     std::{error::Error, fmt, net::SocketAddr, time::Duration},
 };
 
-/// Replicas of the group that the directory would be logged in.
+/// Number of replicas of the group whose log would hold the directory.
 const REPLICAS: u64 = 3;
 
-/// Interval of a reader's reads, and while an answer was cut short.
-const READ_EVERY: Duration = Duration::from_secs(1);
-const CATCH_UP_EVERY: Duration = Duration::from_millis(250);
+/// Intervals of a reader's reads: in the steady state, and while it is still
+/// incomplete or the last reply was truncated.
+const READ_INTERVAL: Duration = Duration::from_secs(1);
+const CATCH_UP_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How long the directory is watched before the leader is lost.
-const STEADY: Duration = Duration::from_secs(30);
+/// Duration of the measurement before the leader is lost.
+const STEADY_DURATION: Duration = Duration::from_secs(30);
 
-/// How long the new leader is watched.
-const AFTER: Duration = Duration::from_secs(20);
+/// Duration of the measurement after the loss of the leader.
+const FAILOVER_DURATION: Duration = Duration::from_secs(20);
 
-/// What was measured.
+/// Results of the simulation.
 #[derive(Debug, Default, Serialize)]
 pub struct DirectoryReport {
     sidecars: u32,
-    /// Heartbeats a second, of all sidecars to one host.
+    /// Heartbeats per second from all sidecars to one host.
     heartbeats_per_s: u64,
-    /// Bytes of one heartbeat with its answer.
+    /// Mean bytes of one heartbeat with its reply.
     heartbeat_bytes: u64,
-    /// Bytes of one full announcement.
+    /// Size of one full announcement in bytes.
     announcement_bytes: u64,
-    /// Bytes a second from a host to one reader.
+    /// Bytes per second between a host and one reader.
     reader_bytes_per_s: u64,
-    /// The same if the whole directory were sent each second.
+    /// Bytes per second to one reader if each read returned the whole directory.
     whole_bytes_per_s: u64,
-    /// Most bytes a second to a reader that starts.
+    /// Peak bytes per second between a host and a reader that starts.
     first_reads_bytes_per_s: u64,
-    /// Time until a reader that starts holds every line.
+    /// Milliseconds until a reader that starts holds every entry.
     first_reads_ms: u64,
-    logged: WayRow,
-    rebuilt: WayRow,
-    everywhere: WayRow,
+    logged: StrategyRow,
+    rebuilt: StrategyRow,
+    everywhere: StrategyRow,
 }
 
-/// One way of keeping the directory.
+/// Cost of one way of keeping the directory.
 #[derive(Debug, Default, Serialize)]
-struct WayRow {
+struct StrategyRow {
     commits_per_s: u64,
-    /// Bytes a second that the hosts take in, in all.
+    /// Bytes per second of heartbeats, summed over all hosts.
     bytes_per_s: u64,
-    /// Time from the election of a leader until its directory is complete.
+    /// Milliseconds from the election of a leader until its directory is
+    /// complete.
     complete_ms: u64,
 }
 
@@ -76,100 +80,101 @@
             self.first_reads_bytes_per_s,
             self.first_reads_ms
         )?;
-        let ways = [
+        let strategies = [
             ("logged", &self.logged),
             ("rebuilt", &self.rebuilt),
             ("everywhere", &self.everywhere),
         ];
-        for (name, way) in ways {
+        for (name, strategy) in strategies {
             writeln!(
                 f,
                 "way={name} commits_per_s={} bytes_per_s={} complete_ms={}",
-                way.commits_per_s, way.bytes_per_s, way.complete_ms
+                strategy.commits_per_s, strategy.bytes_per_s, strategy.complete_ms
             )?;
         }
         Ok(())
     }
 }
 
-/// A sidecar and what it knows of the host.
+/// Simulated sidecar and its contact with the host.
 struct Sidecar {
     announcement: Announcement,
     contact: HostContact,
     pacer: Pacer,
 }
 
-/// What happens.
+/// Events of the simulation.
 enum Event {
-    /// A sidecar announces itself.
+    /// A sidecar sends a heartbeat.
     Announce(usize),
-    /// The reader reads.
+    /// The reader reads the changes of the directory.
     Read,
 }
 
-/// Sidecars, one host and one reader.
-struct World {
+/// State of the simulation: sidecars, one host and one reader.
+struct Simulation {
     rng: ChaCha8Rng,
-    queue: Queue<Event>,
+    queue: EventQueue<Event>,
     sidecars: Vec<Sidecar>,
     host: Directory,
     view: DirectoryView,
     reads: Pacer,
     catch_up: Pacer,
-    heard: u64,
-    heard_bytes: u64,
+    heartbeats: u64,
+    heartbeat_bytes_total: u64,
     read_bytes: Vec<(Time, u64)>,
 }
 
-/// Measures with a number of sidecars.
+/// Runs the simulation with a number of sidecars.
 pub fn run(seed: u64, sidecars: u32) -> Result<DirectoryReport, Box<dyn Error>> {
-    let mut world = World::new(seed, sidecars);
+    let mut simulation = Simulation::new(seed, sidecars);
     let mut report = DirectoryReport {
         sidecars,
-        announcement_bytes: world.announcement_bytes()?,
+        announcement_bytes: simulation.announcement_bytes()?,
         ..DirectoryReport::default()
     };
     let settled = Time::ZERO + Duration::from_secs(10);
     let mut full = None;
-    while let Some(now) = world.step(settled)? {
-        if full.is_none() && world.view.entries(now).len() == sidecars as usize {
+    while let Some(now) = simulation.step(settled)? {
+        if full.is_none() && simulation.view.entries(now).len() == sidecars as usize {
             full = Some(now);
         }
     }
     report.first_reads_ms = millis(full.unwrap_or(settled).since(Time::ZERO));
-    report.first_reads_bytes_per_s = world.busiest_second();
+    report.first_reads_bytes_per_s = simulation.peak_bytes_per_s();
 
-    world.forget_counts();
-    let lost = settled + STEADY;
-    while world.step(lost)?.is_some() {}
-    let seconds = STEADY.as_secs();
-    report.heartbeats_per_s = world.heard / seconds;
-    report.heartbeat_bytes = world.heard_bytes / world.heard.max(1);
-    report.reader_bytes_per_s = world.read_total() / seconds;
-    report.whole_bytes_per_s = world.whole_bytes(lost)?;
-    let to_host = world.heard_bytes / seconds;
+    simulation.reset_counters();
+    let lost = settled + STEADY_DURATION;
+    while simulation.step(lost)?.is_some() {}
+    let seconds = STEADY_DURATION.as_secs();
+    report.heartbeats_per_s = simulation.heartbeats / seconds;
+    report.heartbeat_bytes = simulation.heartbeat_bytes_total / simulation.heartbeats.max(1);
+    report.reader_bytes_per_s = simulation.read_total() / seconds;
+    report.whole_bytes_per_s = simulation.whole_bytes(lost)?;
+    let to_host = simulation.heartbeat_bytes_total / seconds;
 
-    // A leader is lost: another host begins with nothing but what it is told.
-    world.host = Directory::new(lost, 2, MembersSettings::default());
+    // The leader is lost: the new leader starts with an empty directory and
+    // fills it from heartbeats.
+    simulation.host = Directory::new(lost, 2, MembersSettings::default());
     let mut complete = None;
-    while let Some(now) = world.step(lost + AFTER)? {
-        if complete.is_none() && world.host.len() == sidecars as usize {
+    while let Some(now) = simulation.step(lost + FAILOVER_DURATION)? {
+        if complete.is_none() && simulation.host.len() == sidecars as usize {
             complete = Some(now);
         }
     }
-    let rebuilt = millis(complete.unwrap_or(lost + AFTER).since(lost));
-    // A logged heartbeat goes to the leader, and from there to each follower.
-    report.logged = WayRow {
+    let rebuilt = millis(complete.unwrap_or(lost + FAILOVER_DURATION).since(lost));
+    // A logged heartbeat is sent to the leader and from there to each follower.
+    report.logged = StrategyRow {
         commits_per_s: report.heartbeats_per_s,
         bytes_per_s: to_host * REPLICAS,
         complete_ms: 0,
     };
-    report.rebuilt = WayRow {
+    report.rebuilt = StrategyRow {
         commits_per_s: 0,
         bytes_per_s: to_host,
         complete_ms: rebuilt,
     };
-    report.everywhere = WayRow {
+    report.everywhere = StrategyRow {
         commits_per_s: 0,
         bytes_per_s: to_host * REPLICAS,
         complete_ms: 0,
@@ -177,11 +182,11 @@
     Ok(report)
 }
 
-impl World {
-    /// Sidecars that all start at once, a host and a reader.
+impl Simulation {
+    /// Creates a host, a reader and sidecars that all start at the same time.
     fn new(seed: u64, sidecars: u32) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut queue = Queue::new();
+        let mut queue = EventQueue::new();
         let settings = MembersSettings::default();
         let sidecars = (0..sidecars).map(|number| {
             let mut pacer = Pacer::new(settings.heartbeat);
@@ -201,15 +206,15 @@
             sidecars,
             host: Directory::new(Time::ZERO, 1, settings),
             view: DirectoryView::default(),
-            reads: Pacer::new(READ_EVERY),
-            catch_up: Pacer::new(CATCH_UP_EVERY),
-            heard: 0,
-            heard_bytes: 0,
+            reads: Pacer::new(READ_INTERVAL),
+            catch_up: Pacer::new(CATCH_UP_INTERVAL),
+            heartbeats: 0,
+            heartbeat_bytes_total: 0,
             read_bytes: Vec::new(),
         }
     }
 
-    /// Does what is next; its time, if it is before `until`.
+    /// Processes the next event if it is due before `until`; returns its time.
     fn step(&mut self, until: Time) -> Result<Option<Time>, Box<dyn Error>> {
         let Some((now, event)) = self.queue.pop(until) else {
             return Ok(None);
@@ -221,7 +226,7 @@
         Ok(Some(now))
     }
 
-    /// A sidecar announces itself with a load that has changed.
+    /// Sends the heartbeat of a sidecar with a changed load.
     fn announce(&mut self, now: Time, number: usize) -> Result<(), Box<dyn Error>> {
         let load = Load {
             queued: self.rng.random_range(0..40),
@@ -238,22 +243,23 @@
         let req = sidecar.contact.next_request(&sidecar.announcement);
         let bytes = frame_bytes(&LinkRequest::Members(req.clone()))?;
         let reply = self.host.handle(now, req);
-        self.heard += 1;
-        self.heard_bytes += bytes + frame_bytes(&reply)?;
+        self.heartbeats += 1;
+        self.heartbeat_bytes_total += bytes + frame_bytes(&reply)?;
         sidecar.contact.on_reply(Some(&reply));
         let next = now + sidecar.pacer.next_wait(random);
         self.queue.push(next, Event::Announce(number));
         Ok(())
     }
 
-    /// The reader reads.
+    /// Reads the changes of the directory and schedules the next read.
     fn read(&mut self, now: Time) -> Result<(), Box<dyn Error>> {
         self.host.tick(now);
         let req = self.view.next_request(1);
-        let asked = frame_bytes(&LinkRequest::Members(MembersRequest::Changes(req.clone())))?;
+        let request_bytes =
+            frame_bytes(&LinkRequest::Members(MembersRequest::Changes(req.clone())))?;
         let changes = self.host.changes(now, &req);
         let bytes = frame_bytes(&MembersReply::Changes(changes.clone()))?;
-        self.read_bytes.push((now, asked + bytes));
+        self.read_bytes.push((now, request_bytes + bytes));
         self.view.apply(now, changes);
         let pacer = if self.view.complete() && !self.view.has_more() {
             &mut self.reads
@@ -265,20 +271,20 @@
         Ok(())
     }
 
-    /// Forgets what was counted so far.
-    fn forget_counts(&mut self) {
-        self.heard = 0;
-        self.heard_bytes = 0;
+    /// Resets the counters.
+    fn reset_counters(&mut self) {
+        self.heartbeats = 0;
+        self.heartbeat_bytes_total = 0;
         self.read_bytes.clear();
     }
 
-    /// Bytes of all reads.
+    /// Total bytes of all reads.
     fn read_total(&self) -> u64 {
         self.read_bytes.iter().map(|(_, bytes)| bytes).sum()
     }
 
-    /// Most bytes of reads within one second.
-    fn busiest_second(&self) -> u64 {
+    /// Maximum bytes of reads within one second.
+    fn peak_bytes_per_s(&self) -> u64 {
         let second = Duration::from_secs(1);
         let from = |start: Time| {
             let within = self
@@ -291,7 +297,7 @@
         sums.max().unwrap_or_default()
     }
 
-    /// Bytes of one full announcement.
+    /// Size of one full announcement in bytes.
     fn announcement_bytes(&self) -> Result<u64, Box<dyn Error>> {
         let Some(sidecar) = self.sidecars.first() else {
             return Ok(0);
@@ -301,14 +307,14 @@
         Ok(frame_bytes(&req)?)
     }
 
-    /// Bytes of the whole directory in one message.
+    /// Size of the whole directory as one message, in bytes.
     fn whole_bytes(&self, now: Time) -> Result<u64, Box<dyn Error>> {
         let entries: Box<[DirectoryEntry]> = self.view.entries(now);
         Ok(frame_bytes(&entries)?)
     }
 }
 
-/// The announcement of an engine with five models.
+/// Announcement of an engine with five models.
 fn announcement(number: u32) -> Announcement {
     let models = (0..5).map(|model| ModelId::of(&format!("model-{model}")));
     Announcement {
--- a/crates/sapphirequay/src/experiment/spread/mod.rs
+++ b/crates/sapphirequay/src/experiment/spread/mod.rs
@@ -1,8 +1,8 @@
-//! `sapphirequay experiment spread`: how fast and at what cost the
-//! configuration and the directory reach the daemons.
+//! `sapphirequay experiment spread`: measures how fast and at what network cost
+//! the configuration and the directory of upstreams reach the daemons.
 //!
-//! The machines and codecs are those of the daemon; time and the network's
-//! delay are virtual, so the same seed prints the same bytes.
+//! State machines and codecs are those of the daemon. Time and network delay
+//! are simulated, so the same seed prints the same JSON.
 
 mod configuration;
 mod directory;
@@ -20,17 +20,25 @@
     help: bool,
     #[options(help = "seed of every random choice", default = "1")]
     seed: u64,
-    #[options(no_short, help = "accounts in the document", default = "360")]
+    #[options(
+        no_short,
+        help = "number of client accounts in the document",
+        default = "360"
+    )]
     accounts: u32,
-    #[options(no_short, help = "changes that are made", default = "20")]
+    #[options(no_short, help = "number of configuration changes", default = "20")]
     changes: u32,
-    #[options(no_short, help = "sidecars that announce themselves", default = "600")]
+    #[options(
+        no_short,
+        help = "number of sidecars that announce themselves",
+        default = "600"
+    )]
     sidecars: u32,
-    #[options(help = "print JSON")]
+    #[options(help = "print JSON instead of lines")]
     json: bool,
 }
 
-/// Runs both parts and prints their tables.
+/// Runs both simulations and prints their results.
 pub fn run(args: &SpreadArgs) -> Result<(), Box<dyn Error>> {
     let configuration = [3, 30, 300]
         .map(|subscribers| configuration::run(args.seed, subscribers, args.accounts, args.changes));
@@ -50,14 +58,14 @@
     Ok(())
 }
 
-/// A span in whole milliseconds.
+/// Converts a duration to whole milliseconds.
 fn millis(span: Duration) -> u64 {
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Bytes of a message with the length in front of its frame.
+/// Size in bytes of an encoded message with its length prefix.
 fn frame_bytes(message: &impl serde::Serialize) -> Result<u64, postcard::Error> {
-    const HEAD_BYTES: u64 = 4;
+    const LENGTH_PREFIX_BYTES: u64 = 4;
     let body = postcard::to_stdvec(message)?.len();
-    Ok(body as u64 + HEAD_BYTES)
+    Ok(body as u64 + LENGTH_PREFIX_BYTES)
 }
--- a/crates/sapphirequay/src/experiment/spread/queue.rs
+++ b/crates/sapphirequay/src/experiment/spread/queue.rs
@@ -1,41 +1,41 @@
-//! Events in the order of their virtual time.
+//! Event queue ordered by simulated time.
 
 use {
     quay_types::Time,
     std::{cmp::Reverse, collections::BinaryHeap},
 };
 
-/// Events that are due later; those of one time keep their order.
-pub struct Queue<E> {
-    heap: BinaryHeap<Reverse<(Time, u64, Keyed<E>)>>,
+/// Pending events. Events with the same time are popped in insertion order.
+pub struct EventQueue<E> {
+    heap: BinaryHeap<Reverse<(Time, u64, Unordered<E>)>>,
     count: u64,
 }
 
-/// An event that takes no part in the order.
-struct Keyed<E>(E);
+/// Wrapper that excludes an event from the ordering of the heap.
+struct Unordered<E>(E);
 
-impl<E> PartialEq for Keyed<E> {
+impl<E> PartialEq for Unordered<E> {
     fn eq(&self, _: &Self) -> bool {
         true
     }
 }
 
-impl<E> Eq for Keyed<E> {}
+impl<E> Eq for Unordered<E> {}
 
-impl<E> PartialOrd for Keyed<E> {
+impl<E> PartialOrd for Unordered<E> {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl<E> Ord for Keyed<E> {
+impl<E> Ord for Unordered<E> {
     fn cmp(&self, _: &Self) -> std::cmp::Ordering {
         std::cmp::Ordering::Equal
     }
 }
 
-impl<E> Queue<E> {
-    /// No events.
+impl<E> EventQueue<E> {
+    /// Creates an empty queue.
     pub const fn new() -> Self {
         Self {
             heap: BinaryHeap::new(),
@@ -43,13 +43,13 @@
         }
     }
 
-    /// Adds an event.
+    /// Schedules an event.
     pub fn push(&mut self, at: Time, event: E) {
         self.count += 1;
-        self.heap.push(Reverse((at, self.count, Keyed(event))));
+        self.heap.push(Reverse((at, self.count, Unordered(event))));
     }
 
-    /// Takes the next event, if it is due before `until`.
+    /// Removes the next event if it is due before `until`.
     pub fn pop(&mut self, until: Time) -> Option<(Time, E)> {
         let due = self
             .heap
@@ -58,7 +58,7 @@
         if !due {
             return None;
         }
-        let Reverse((at, _, Keyed(event))) = self.heap.pop()?;
+        let Reverse((at, _, Unordered(event))) = self.heap.pop()?;
         Some((at, event))
     }
 }
--- a/crates/sapphirequay/src/group.rs
+++ b/crates/sapphirequay/src/group.rs
@@ -1,4 +1,5 @@
-//! `sapphirequay group`: shows and changes the members of a replicated group.
+//! `sapphirequay group`: shows and changes the membership of a replicated
+//! group.
 
 use {
     gumdrop::Options,
@@ -16,10 +17,13 @@
     help: bool,
     #[options(help = "link address of a host of the group", meta = "ADDR")]
     host: Option<SocketAddr>,
-    #[options(help = "folder of root and operator keys", meta = "DIR")]
+    #[options(
+        help = "folder that holds the root certificate and operator keys",
+        meta = "DIR"
+    )]
     keys: PathBuf,
     #[options(
-        help = "operator whose keys to show; without it operator.pem",
+        help = "operator whose keys are used; default: operator.pem",
         meta = "NAME"
     )]
     operator: Option<String>,
@@ -29,16 +33,16 @@
     command: Option<GroupCommand>,
 }
 
-/// What to do with a group.
+/// Subcommands of `group`.
 #[derive(Debug, Options)]
 enum GroupCommand {
-    #[options(help = "tell how the host's replica stands")]
+    #[options(help = "print the state of the host's replica")]
     Status(StatusArgs),
-    #[options(help = "add a host without a vote")]
+    #[options(help = "add a host as a learner, without a vote")]
     Add(AddArgs),
-    #[options(help = "give a host that has caught up a vote")]
+    #[options(help = "make a learner that has caught up a voter")]
     Promote(NodeArgs),
-    #[options(help = "take a host out")]
+    #[options(help = "remove a host from the group")]
     Remove(NodeArgs),
 }
 
@@ -54,7 +58,7 @@
 struct AddArgs {
     #[options(help = "print this help")]
     help: bool,
-    #[options(free, required, help = "identity of the host, from its log")]
+    #[options(free, required, help = "node identity of the host, from its log")]
     node: u64,
     #[options(free, required, help = "link address of the host")]
     addr: Option<SocketAddr>,
@@ -67,17 +71,19 @@
 struct NodeArgs {
     #[options(help = "print this help")]
     help: bool,
-    #[options(free, required, help = "identity of the host")]
+    #[options(free, required, help = "node identity of the host")]
     node: u64,
 }
 
-/// Runs the command that was asked for.
+/// Dispatches to the given subcommand.
 pub fn run(args: GroupArgs) -> Result<(), Box<dyn Error>> {
     let group = GroupId(args.number);
     let req = match args.command {
         Some(GroupCommand::Status(_)) => QuorumRequest::Status(group),
         Some(GroupCommand::Add(add)) => {
-            let addr = add.addr.ok_or("the link address of the host is needed")?;
+            let addr = add
+                .addr
+                .ok_or("missing argument: link address of the host")?;
             let member = Member::new(NodeId(add.node), addr, add.data_centre);
             QuorumRequest::Change(group, MembershipChange::AddLearner(member))
         }
@@ -87,9 +93,9 @@
         Some(GroupCommand::Remove(of)) => {
             QuorumRequest::Change(group, MembershipChange::Remove(NodeId(of.node)))
         }
-        None => return Err("a command is needed; see --help".into()),
+        None => return Err("missing subcommand; see --help".into()),
     };
-    let host = args.host.ok_or("--host ADDR is needed")?;
+    let host = args.host.ok_or("missing option: --host ADDR")?;
     let files = match &args.operator {
         Some(name) => KeyFiles::for_operator(&args.keys, name),
         None => KeyFiles::for_role(&args.keys, LinkRole::Operator),
@@ -98,11 +104,11 @@
     let reply = links
         .open(host, LinkRole::Ledger, &LinkRequest::Quorum(req))?
         .recv()?;
-    tell(group, reply)
+    print_reply(group, reply)
 }
 
-/// Prints an answer.
-fn tell(group: GroupId, reply: QuorumReply) -> Result<(), Box<dyn Error>> {
+/// Prints the reply of a host; fails if the change was not committed.
+fn print_reply(group: GroupId, reply: QuorumReply) -> Result<(), Box<dyn Error>> {
     match reply {
         QuorumReply::Status {
             node,
@@ -116,7 +122,7 @@
             println!(
                 "group={group} node={node} leader={leader} term={term} commit={commit} last={last}"
             );
-            tell_members(&members);
+            print_members(&members);
             Ok(())
         }
         QuorumReply::Changed => {
@@ -124,14 +130,14 @@
             Ok(())
         }
         QuorumReply::Unknown => {
-            Err("the change was proposed and may yet be committed; ask for the status".into())
+            Err("outcome unknown: the change was proposed and may still be committed; check group status".into())
         }
         QuorumReply::Refused(text) => Err(format!("refused: {text}").into()),
     }
 }
 
-/// Prints members and what speaks against their places.
-fn tell_members(members: &Membership) {
+/// Prints the members and advice on their placement over data centres.
+fn print_members(members: &Membership) {
     for member in members.all() {
         let kind = if members.is_voter(member.node) {
             "voter"
--- a/crates/sapphirequay/src/load/caller.rs
+++ b/crates/sapphirequay/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! One streamed call, as an ordinary client makes it.
+//! HTTP client that makes streamed model calls.
 
 use {
     serde_json::Value,
@@ -10,64 +10,64 @@
     },
 };
 
-/// Longest silence that a caller bears.
+/// Read time-out of a response.
 const READ_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// An error that can pass between threads.
-pub type Fault = Box<dyn Error + Send + Sync>;
+/// Error that can be sent between threads.
+pub type CallError = Box<dyn Error + Send + Sync>;
 
-/// Where calls go.
+/// Address and parameters of calls.
 #[derive(Debug, Clone)]
 pub struct Target {
-    /// Entry or engine.
+    /// Address of an entry or engine.
     pub addr: SocketAddr,
-    /// Bearer key.
+    /// Bearer key of the client account.
     pub key: Box<str>,
-    /// Model.
+    /// Model to call.
     pub model: Box<str>,
-    /// Most tokens of an answer.
+    /// Maximum number of tokens per answer.
     pub max_tokens: u64,
 }
 
-/// What one call gave.
+/// Text and measurements of one completed call.
 #[derive(Debug, Default)]
-pub struct Answered {
-    /// Time to the first token.
+pub struct CallOutcome {
+    /// Time from the request to the first token.
     pub first: Duration,
-    /// Time to the end mark.
+    /// Time from the request to the end of the stream.
     pub whole: Duration,
-    /// The text.
+    /// Generated text.
     pub text: String,
-    /// Prompt tokens.
+    /// Number of prompt tokens.
     pub prompt: u64,
-    /// Prompt tokens that were in the cache.
+    /// Number of prompt tokens found in the prefix cache.
     pub cached: u64,
-    /// Tokens generated.
+    /// Number of generated tokens.
     pub output: u64,
-    /// For each token that tells when it was made: its age on arrival.
+    /// Age on arrival of each token whose text is a timestamp.
     pub ages: Vec<Duration>,
 }
 
 impl Target {
-    /// An agent of one caller.
+    /// Creates the HTTP agent of one caller.
     pub fn agent() -> ureq::Agent {
         ureq::AgentBuilder::new().timeout_read(READ_TIMEOUT).build()
     }
 
-    /// Posts to a path of the target.
+    /// Builds an authorized POST request to a path of the target.
     pub fn post(&self, agent: &ureq::Agent, path: &str) -> ureq::Request {
         agent
             .post(&format!("http://{}{path}", self.addr))
             .set("authorization", &format!("Bearer {}", self.key))
     }
 
-    /// Makes one streamed call; `headers` say which call of which program.
+    /// Makes one streamed call. `headers` may name the program and the call.
     pub fn call(
         &self,
         agent: &ureq::Agent,
         messages: &Value,
         headers: &[(&str, &str)],
-    ) -> Result<Answered, Fault> {
+    ) -> Result<CallOutcome, CallError> {
         let body = serde_json::json!({
             "model": self.model, "stream": true, "stream_options": {"include_usage": true},
             "max_tokens": self.max_tokens, "messages": messages,
@@ -84,31 +84,31 @@
             }
             Err(err) => return Err(err.into()),
         };
-        let mut answered = Answered::default();
-        let mut ended = false;
+        let mut outcome = CallOutcome::default();
+        let mut finished = false;
         for line in BufReader::new(response.into_reader()).lines() {
             let line = line?;
             let Some(data) = line.strip_prefix("data: ") else {
                 continue;
             };
             if data == "[DONE]" {
-                ended = true;
+                finished = true;
                 continue;
             }
-            answered.take(&serde_json::from_str(data)?, started)?;
+            outcome.add_event(&serde_json::from_str(data)?, started)?;
         }
-        answered.whole = started.elapsed();
-        if ended {
-            Ok(answered)
+        outcome.whole = started.elapsed();
+        if finished {
+            Ok(outcome)
         } else {
-            Err("the answer has no end mark".into())
+            Err("the stream ended without data: [DONE]".into())
         }
     }
 }
 
-impl Answered {
-    /// Takes one event.
-    fn take(&mut self, event: &Value, started: Instant) -> Result<(), Fault> {
+impl CallOutcome {
+    /// Adds one server-sent event; fails if it reports an error.
+    fn add_event(&mut self, event: &Value, started: Instant) -> Result<(), CallError> {
         if let Some(kind) = event["error"]["kind"].as_str() {
             return Err(kind.into());
         }
@@ -134,9 +134,10 @@
     }
 }
 
-/// Age of a token whose text is the time at which it was made.
+/// Age of a token whose text is the time at which it was written, as `us`
+/// followed by microseconds since the Unix epoch.
 fn age(text: &str) -> Option<Duration> {
-    let made: u64 = text.trim().strip_prefix("us")?.parse().ok()?;
+    let written: u64 = text.trim().strip_prefix("us")?.parse().ok()?;
     let now = SystemTime::now().duration_since(UNIX_EPOCH).ok()?;
-    now.checked_sub(Duration::from_micros(made))
+    now.checked_sub(Duration::from_micros(written))
 }
--- a/crates/sapphirequay/src/load/mod.rs
+++ b/crates/sapphirequay/src/load/mod.rs
@@ -1,4 +1,4 @@
-//! `sapphirequay load`: programs against running entries, measured.
+//! `sapphirequay load`: sends load to running entries and measures latencies.
 
 mod caller;
 mod overhead;
@@ -19,56 +19,66 @@
     help: bool,
     #[options(
         no_short,
-        help = "callers' address of an entry; may be given again",
+        help = "address of an entry for callers; may be repeated",
         meta = "ADDR"
     )]
     entry: Vec<SocketAddr>,
     #[options(no_short, help = "bearer key", default = "demo-key", meta = "KEY")]
     key: String,
-    #[options(no_short, help = "model", default = "demo-model", meta = "NAME")]
+    #[options(
+        no_short,
+        help = "model to call",
+        default = "demo-model",
+        meta = "NAME"
+    )]
     model: String,
-    #[options(no_short, help = "programs in all", default = "40", meta = "N")]
+    #[options(
+        no_short,
+        help = "number of programs to run",
+        default = "40",
+        meta = "N"
+    )]
     programs: usize,
-    #[options(no_short, help = "programs at a time", default = "8", meta = "N")]
-    concurrency: usize,
-    #[options(no_short, help = "turns of a program", default = "4", meta = "N")]
-    turns: usize,
     #[options(
         no_short,
-        help = "pause between two turns",
-        default = "100",
-        meta = "MS"
+        help = "programs run concurrently",
+        default = "8",
+        meta = "N"
     )]
+    concurrency: usize,
+    #[options(no_short, help = "model calls per program", default = "4", meta = "N")]
+    turns: usize,
+    #[options(no_short, help = "pause after each turn", default = "100", meta = "MS")]
     pause_ms: u64,
     #[options(
         no_short,
-        help = "most tokens of an answer",
+        help = "maximum tokens per answer",
         default = "64",
         meta = "N"
     )]
     max_tokens: u64,
     #[options(
         no_short,
-        help = "measure what the entry adds to this engine, in place of programs",
+        help = "measure the latency that the entry adds to this engine, instead of running programs",
         meta = "ADDR"
     )]
     direct: Option<SocketAddr>,
     #[options(
         no_short,
-        help = "streams at a time for --direct; may be given again",
+        help = "concurrent streams for --direct; may be repeated",
         meta = "N"
     )]
     streams: Vec<usize>,
     #[options(
         no_short,
-        help = "calls of each stream for --direct",
+        help = "rounds of calls per number of streams for --direct",
         default = "4",
         meta = "N"
     )]
     rounds: usize,
     #[options(
         no_short,
-        help = "process whose time and memory are told; may be given again",
+        help = "process whose CPU time and memory are reported; may be repeated",
         meta = "NAME=PID"
     )]
     watch: Vec<String>,
@@ -76,10 +86,11 @@
     json: bool,
 }
 
-/// Runs the load that was asked for and prints what was measured.
+/// Runs programs, or the overhead measurement if `--direct` is given, and
+/// prints the report.
 pub fn run(args: &LoadArgs) -> Result<(), Box<dyn Error>> {
     if args.entry.is_empty() {
-        return Err("--entry ADDR is needed".into());
+        return Err("missing option: --entry ADDR".into());
     }
     let report = match args.direct {
         Some(engine) => overhead::run(args, engine)?,
@@ -93,29 +104,29 @@
     Ok(())
 }
 
-/// Times of one kind, in microseconds.
-struct Times(Histogram<u64>);
+/// Histogram of durations, in microseconds.
+struct DurationHistogram(Histogram<u64>);
 
-impl Times {
-    /// No times yet.
+impl DurationHistogram {
+    /// Creates an empty histogram with three significant digits.
     fn new() -> Result<Self, Box<dyn Error + Send + Sync>> {
         Ok(Self(Histogram::new(3)?))
     }
 
-    /// Adds one time.
+    /// Records one duration.
     fn add(&mut self, span: Duration) {
         let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
         if self.0.record(micros).is_err() {
-            eprintln!("a time of {micros} µs is out of range");
+            eprintln!("duration of {micros} µs is out of range of the histogram");
         }
     }
 
-    /// A quantile in milliseconds.
+    /// Duration at a quantile, in milliseconds.
     fn quantile_ms(&self, quantile: f64) -> f64 {
         milliseconds(self.0.value_at_quantile(quantile))
     }
 
-    /// The usual figures.
+    /// Summary with count, mean, quantiles and maximum.
     fn json(&self) -> Value {
         json!({
             "count": self.0.len(),
@@ -128,8 +139,8 @@
     }
 }
 
-/// Microseconds as milliseconds.
-#[allow(clippy::cast_precision_loss)] // Times stay far below 2^52 µs.
+/// Converts microseconds to milliseconds.
+#[allow(clippy::cast_precision_loss)] // Durations stay far below 2^52 µs.
 fn milliseconds(micros: u64) -> f64 {
     micros as f64 / 1_000.0
 }
--- a/crates/sapphirequay/src/load/overhead.rs
+++ b/crates/sapphirequay/src/load/overhead.rs
@@ -1,10 +1,11 @@
-//! What entry and sidecar add to a token, side by side with the engine itself.
+//! Measures the latency that entry and sidecar add to a token, compared with
+//! direct calls to the engine.
 
 use {
     super::{
-        LoadArgs, Times,
-        caller::{Answered, Fault, Target},
-        watch::Watched,
+        DurationHistogram, LoadArgs,
+        caller::{CallError, CallOutcome, Target},
+        watch::WatchedProcesses,
     },
     quay_experiment::capacity::LineFit,
     serde_json::{Value, json},
@@ -17,23 +18,23 @@
     },
 };
 
-/// Streams at a time where the arguments name none.
+/// Numbers of concurrent streams if the arguments give none.
 const DEFAULT_STREAMS: [usize; 4] = [1, 100, 250, 500];
 
-/// Time after the start of a round at which memory is read.
-const MEMORY_AFTER: Duration = Duration::from_millis(400);
+/// Delay from the start of a round until memory is sampled.
+const MEMORY_SAMPLE_DELAY: Duration = Duration::from_millis(400);
 
-/// What one way of calling gave.
-struct Measured {
-    first: Times,
-    token: Times,
+/// Measurements of one path: direct to the engine or through the entry.
+struct PathMeasurements {
+    first: DurationHistogram,
+    token: DurationHistogram,
     tokens: u64,
     failed: usize,
 }
 
-/// Measures both ways in turn and reports.
+/// Measures both paths for each number of streams and returns the report.
 pub fn run(args: &LoadArgs, engine: SocketAddr) -> Result<Value, Box<dyn Error>> {
-    let watched = Watched::parse(&args.watch)?;
+    let watched = WatchedProcesses::parse(&args.watch)?;
     let streams = if args.streams.is_empty() {
         DEFAULT_STREAMS.to_vec()
     } else {
@@ -61,16 +62,16 @@
     }))
 }
 
-/// Lines through the processor time against tokens and the memory against
-/// streams of each watched process; none for fewer than four numbers of streams.
+/// Fits lines to CPU time against tokens and to memory against streams for each
+/// watched process; empty for fewer than four numbers of streams.
 fn slopes(rows: &[Value]) -> Vec<Value> {
     let processes = rows.first().and_then(|row| row["processes"].as_array());
     let names = processes.into_iter().flatten().enumerate();
-    let lines = names.flat_map(|(place, process)| {
+    let lines = names.flat_map(|(position, process)| {
         let fit = |name: &str, per: &Value, x: &dyn Fn(&Value) -> Option<f64>, key: &str| {
             let points: Option<Vec<_>> = rows
                 .iter()
-                .map(|row| Some((x(row)?, row["processes"][place][key].as_f64()?)))
+                .map(|row| Some((x(row)?, row["processes"][position][key].as_f64()?)))
                 .collect();
             let fit = LineFit::of(&points?)?;
             Some(json!({"process": process["name"], "of": name, "per": per, "fit": fit}))
@@ -85,64 +86,65 @@
     lines.flatten().collect()
 }
 
-/// Measures one number of streams: both ways, one round after the other.
+/// Measures one number of streams, alternating between both paths each round.
 fn measure(
     direct: &Target,
     entry: &Target,
     count: usize,
     rounds: usize,
-    watched: &Watched,
+    watched: &WatchedProcesses,
 ) -> Result<Value, Box<dyn Error>> {
-    let mut ways = [Measured::new()?, Measured::new()?];
+    let mut paths = [PathMeasurements::new()?, PathMeasurements::new()?];
     let idle = watched.memory();
-    let mut most = idle.clone();
+    let mut peak = idle.clone();
     let before = watched.cpu();
     for _ in 0..rounds {
-        for (way, target) in [direct, entry].into_iter().enumerate() {
-            let memory = round(target, count, &mut ways[way], watched)?;
-            for (most, now) in most.iter_mut().zip(memory) {
-                *most = (*most).max(now);
+        for (path, target) in [direct, entry].into_iter().enumerate() {
+            let memory = run_round(target, count, &mut paths[path], watched)?;
+            for (peak, now) in peak.iter_mut().zip(memory) {
+                *peak = (*peak).max(now);
             }
         }
     }
     let after = watched.cpu();
-    let [direct, entry] = &ways;
-    let added = |quantile: f64, pick: fn(&Measured) -> &Times| {
+    let [direct, entry] = &paths;
+    let added = |quantile: f64, pick: fn(&PathMeasurements) -> &DurationHistogram| {
         pick(entry).quantile_ms(quantile) - pick(direct).quantile_ms(quantile)
     };
     Ok(json!({
         "streams": count,
         "direct": direct.json(), "entry": entry.json(),
-        "added_first_p50_ms": added(0.50, |way| &way.first),
-        "added_first_p99_ms": added(0.99, |way| &way.first),
-        "added_token_p50_ms": added(0.50, |way| &way.token),
-        "added_token_p99_ms": added(0.99, |way| &way.token),
-        "processes": watched.json(&before, &after, &idle, &most, entry.tokens, count),
+        "added_first_p50_ms": added(0.50, |path| &path.first),
+        "added_first_p99_ms": added(0.99, |path| &path.first),
+        "added_token_p50_ms": added(0.50, |path| &path.token),
+        "added_token_p99_ms": added(0.99, |path| &path.token),
+        "processes": watched.json(&before, &after, &idle, &peak, entry.tokens, count),
     }))
 }
 
-/// Makes `count` calls at a time; memory of the watched processes meanwhile.
-fn round(
+/// Makes `count` concurrent calls; returns the memory of the watched processes
+/// during the calls, in KiB.
+fn run_round(
     target: &Target,
     count: usize,
-    measured: &mut Measured,
-    watched: &Watched,
+    measured: &mut PathMeasurements,
+    watched: &WatchedProcesses,
 ) -> Result<Vec<u64>, Box<dyn Error>> {
     let start = Arc::new(Barrier::new(count + 1));
     let callers: Vec<_> = (0..count)
         .map(|number| {
             let (target, start) = (target.clone(), Arc::clone(&start));
-            thread::spawn(move || one_call(&target, number, &start))
+            thread::spawn(move || call_after_barrier(&target, number, &start))
         })
         .collect();
     start.wait();
-    thread::sleep(MEMORY_AFTER);
+    thread::sleep(MEMORY_SAMPLE_DELAY);
     let memory = watched.memory();
     for caller in callers {
-        match caller.join().map_err(|_| "a caller has panicked")? {
-            Ok(answered) => measured.add(&answered),
+        match caller.join().map_err(|_| "a caller thread panicked")? {
+            Ok(outcome) => measured.add(&outcome),
             Err(err) => {
-                eprintln!("call: {err}");
+                eprintln!("call failed: {err}");
                 measured.failed += 1;
             }
         }
@@ -150,29 +152,33 @@
     Ok(memory)
 }
 
-/// One call that starts together with the others.
-fn one_call(target: &Target, number: usize, start: &Barrier) -> Result<Answered, Fault> {
+/// Makes one call, which starts when all threads have reached the barrier.
+fn call_after_barrier(
+    target: &Target,
+    number: usize,
+    start: &Barrier,
+) -> Result<CallOutcome, CallError> {
     let agent = Target::agent();
     let messages = json!([{"role": "user", "content": format!("caller {number}")}]);
     start.wait();
     target.call(&agent, &messages, &[])
 }
 
-impl Measured {
+impl PathMeasurements {
     fn new() -> Result<Self, Box<dyn Error>> {
         Ok(Self {
-            first: Times::new().map_err(|err| err.to_string())?,
-            token: Times::new().map_err(|err| err.to_string())?,
+            first: DurationHistogram::new().map_err(|err| err.to_string())?,
+            token: DurationHistogram::new().map_err(|err| err.to_string())?,
             tokens: 0,
             failed: 0,
         })
     }
 
-    /// Adds one call.
-    fn add(&mut self, answered: &Answered) {
-        self.first.add(answered.first);
-        self.tokens += answered.output;
-        for age in &answered.ages {
+    /// Adds the measurements of one call.
+    fn add(&mut self, outcome: &CallOutcome) {
+        self.first.add(outcome.first);
+        self.tokens += outcome.output;
+        for age in &outcome.ages {
             self.token.add(*age);
         }
     }
--- a/crates/sapphirequay/src/load/programs.rs
+++ b/crates/sapphirequay/src/load/programs.rs
@@ -1,9 +1,9 @@
-//! Programs of several turns against entries.
+//! Runs programs of several turns against entries.
 
 use {
     super::{
-        LoadArgs, Times,
-        caller::{Answered, Fault, Target},
+        DurationHistogram, LoadArgs,
+        caller::{CallError, CallOutcome, Target},
     },
     serde_json::{Value, json},
     std::{
@@ -17,35 +17,35 @@
     },
 };
 
-/// Text of a shop's first message; every program shares it, as agents share
-/// their instructions.
-const INSTRUCTIONS: &str = "You draft the replenishment order of a shop. Check stock before you \
+/// System prompt of every program. All programs share it, so the prefix cache
+/// can serve it across programs.
+const SYSTEM_PROMPT: &str = "You draft the replenishment order of a shop. Check stock before you \
     order, never order the same line twice, and ask the shopkeeper where a quantity is unclear. ";
 
-/// How often the instructions are repeated, so that they fill some blocks.
-const INSTRUCTIONS_REPEATED: usize = 12;
+/// Repetitions of the system prompt, which make it span several cache blocks.
+const SYSTEM_PROMPT_REPETITIONS: usize = 12;
 
-/// Tokens in a block of the prefix cache; a part block is never cached.
+/// Tokens in a block of the prefix cache; a partial block is never cached.
 const BLOCK_TOKENS: u64 = 64;
 
-/// What was measured of some programs.
+/// Measurements of a set of programs.
 struct Measured {
-    program: Times,
-    turn: Times,
-    first: Times,
+    program: DurationHistogram,
+    turn: DurationHistogram,
+    first: DurationHistogram,
     failed: usize,
     prompt: u64,
     cached: u64,
-    /// Prompt tokens that an earlier turn had and that were prefilled again.
+    /// Prompt tokens of earlier turns that were prefilled again.
     wasted: u64,
 }
 
 impl Measured {
-    fn new() -> Result<Self, Fault> {
+    fn new() -> Result<Self, CallError> {
         Ok(Self {
-            program: Times::new()?,
-            turn: Times::new()?,
-            first: Times::new()?,
+            program: DurationHistogram::new()?,
+            turn: DurationHistogram::new()?,
+            first: DurationHistogram::new()?,
             failed: 0,
             prompt: 0,
             cached: 0,
@@ -53,8 +53,8 @@
         })
     }
 
-    /// Adds what another thread measured.
-    fn add(&mut self, other: &Self) -> Result<(), Fault> {
+    /// Adds the measurements of another thread.
+    fn add(&mut self, other: &Self) -> Result<(), CallError> {
         self.program.0.add(&other.program.0)?;
         self.turn.0.add(&other.turn.0)?;
         self.first.0.add(&other.first.0)?;
@@ -65,30 +65,31 @@
         Ok(())
     }
 
-    /// Adds one turn; `before` are the tokens that the program had already.
-    fn add_turn(&mut self, answered: &Answered, before: u64) {
-        self.turn.add(answered.whole);
-        self.first.add(answered.first);
-        self.prompt += answered.prompt;
-        self.cached += answered.cached;
-        let known = before.min(answered.prompt) / BLOCK_TOKENS * BLOCK_TOKENS;
-        self.wasted += known.saturating_sub(answered.cached);
+    /// Adds one turn. `before` is the number of prompt and output tokens of the
+    /// previous turn.
+    fn add_turn(&mut self, outcome: &CallOutcome, before: u64) {
+        self.turn.add(outcome.whole);
+        self.first.add(outcome.first);
+        self.prompt += outcome.prompt;
+        self.cached += outcome.cached;
+        let cacheable = before.min(outcome.prompt) / BLOCK_TOKENS * BLOCK_TOKENS;
+        self.wasted += cacheable.saturating_sub(outcome.cached);
     }
 }
 
-/// Runs every program and reports.
+/// Runs every program and returns the report.
 pub fn run(args: &LoadArgs) -> Result<Value, Box<dyn Error>> {
     let next = Arc::new(AtomicUsize::new(0));
     let started = Instant::now();
     let workers: Vec<_> = (0..args.concurrency)
         .map(|_| {
-            let (next, plan) = (Arc::clone(&next), Plan::of(args));
-            thread::spawn(move || plan.work(&next))
+            let (next, plan) = (Arc::clone(&next), LoadPlan::of(args));
+            thread::spawn(move || plan.run_programs(&next))
         })
         .collect();
     let mut measured = Measured::new().map_err(|err| err.to_string())?;
     for worker in workers {
-        let part = worker.join().map_err(|_| "a worker has panicked")?;
+        let part = worker.join().map_err(|_| "a worker thread panicked")?;
         let part = part.map_err(|err| err.to_string())?;
         measured.add(&part).map_err(|err| err.to_string())?;
     }
@@ -102,16 +103,16 @@
     }))
 }
 
-/// What every worker does.
-struct Plan {
+/// Parameters of the programs, one copy per worker thread.
+struct LoadPlan {
     targets: Vec<Target>,
     programs: usize,
     turns: usize,
     pause: Duration,
 }
 
-impl Plan {
-    /// The plan that the arguments ask for.
+impl LoadPlan {
+    /// Converts the arguments to a plan.
     fn of(args: &LoadArgs) -> Self {
         let target = |addr: &std::net::SocketAddr| Target {
             addr: *addr,
@@ -127,8 +128,8 @@
         }
     }
 
-    /// Runs programs until none is left.
-    fn work(&self, next: &AtomicUsize) -> Result<Measured, Fault> {
+    /// Runs programs until all have been taken from the shared counter `next`.
+    fn run_programs(&self, next: &AtomicUsize) -> Result<Measured, CallError> {
         let mut measured = Measured::new()?;
         loop {
             let number = next.fetch_add(1, Ordering::Relaxed);
@@ -136,22 +137,22 @@
                 return Ok(measured);
             }
             let started = Instant::now();
-            match self.program(number, &mut measured) {
+            match self.run_program(number, &mut measured) {
                 Ok(()) => measured.program.add(started.elapsed()),
                 Err(err) => {
-                    eprintln!("program {number}: {err}");
+                    eprintln!("program {number} failed: {err}");
                     measured.failed += 1;
                 }
             }
         }
     }
 
-    /// Runs one program: each turn goes to the next entry.
-    fn program(&self, number: usize, measured: &mut Measured) -> Result<(), Fault> {
+    /// Runs one program; its turns go to the entries in rotation.
+    fn run_program(&self, number: usize, measured: &mut Measured) -> Result<(), CallError> {
         let agent = Target::agent();
-        let id = create(&self.targets[number % self.targets.len()], &agent)?;
+        let id = create_program(&self.targets[number % self.targets.len()], &agent)?;
         let mut messages = vec![json!({
-            "role": "system", "content": INSTRUCTIONS.repeat(INSTRUCTIONS_REPEATED),
+            "role": "system", "content": SYSTEM_PROMPT.repeat(SYSTEM_PROMPT_REPETITIONS),
         })];
         let mut before = 0;
         for turn in 1..=self.turns {
@@ -164,27 +165,30 @@
                 ("sapphirequay-program", id.as_str()),
                 ("sapphirequay-call", call.as_str()),
             ];
-            let answered = target.call(&agent, &json!(messages), &headers)?;
-            measured.add_turn(&answered, before);
-            before = answered.prompt + answered.output;
-            messages.push(json!({"role": "assistant", "content": answered.text}));
+            let outcome = target.call(&agent, &json!(messages), &headers)?;
+            measured.add_turn(&outcome, before);
+            before = outcome.prompt + outcome.output;
+            messages.push(json!({"role": "assistant", "content": outcome.text}));
             thread::sleep(self.pause);
         }
         let path = format!("/v1/programs/{id}");
         let target = &self.targets[number % self.targets.len()];
-        let end = agent.delete(&format!("http://{}{path}", target.addr));
-        end.set("authorization", &format!("Bearer {}", target.key))
+        let delete = agent.delete(&format!("http://{}{path}", target.addr));
+        delete
+            .set("authorization", &format!("Bearer {}", target.key))
             .call()
             .map_err(Box::new)?;
         Ok(())
     }
 }
 
-/// Creates a program; its id.
-fn create(target: &Target, agent: &ureq::Agent) -> Result<String, Fault> {
+/// Creates a program and returns its id.
+fn create_program(target: &Target, agent: &ureq::Agent) -> Result<String, CallError> {
     let response = target.post(agent, "/v1/programs").send_string("{}");
     let text = response.map_err(Box::new)?.into_string()?;
     let body: Value = serde_json::from_str(&text)?;
-    let id = body["id"].as_str().ok_or("the program has no id")?;
+    let id = body["id"]
+        .as_str()
+        .ok_or("the response has no program id")?;
     Ok(id.to_owned())
 }
--- a/crates/sapphirequay/src/log.rs
+++ b/crates/sapphirequay/src/log.rs
@@ -1,4 +1,5 @@
-//! `sapphirequay log`: reads a data folder without changing it.
+//! `sapphirequay log`: inspects, backs up and restores the data folder of a
+//! ledger host. No command changes an existing folder.
 
 use {
     gumdrop::Options,
@@ -21,14 +22,14 @@
     command: Option<LogCommand>,
 }
 
-/// What to do with a data folder.
+/// Subcommands of `log`.
 #[derive(Debug, Options)]
 enum LogCommand {
-    #[options(help = "tell what the files of a data folder hold")]
+    #[options(help = "describe the files of a data folder")]
     Inspect(InspectArgs),
-    #[options(help = "copy the groups of a data folder, whose host may run")]
+    #[options(help = "copy the groups of a data folder; its host may be running")]
     Backup(BackupArgs),
-    #[options(help = "start groups again from a copy, with one new host")]
+    #[options(help = "recreate groups from a backup on one new host")]
     Restore(RestoreArgs),
 }
 
@@ -57,7 +58,7 @@
 struct RestoreArgs {
     #[options(help = "print this help")]
     help: bool,
-    #[options(free, required, help = "copy that log backup made")]
+    #[options(free, required, help = "folder written by log backup")]
     from: PathBuf,
     #[options(free, required, help = "data folder to write; must not exist")]
     to: PathBuf,
@@ -67,7 +68,7 @@
     data_centre: String,
 }
 
-/// Runs the command that was asked for.
+/// Dispatches to the given subcommand.
 pub fn run(args: LogArgs) -> Result<(), Box<dyn Error>> {
     match args.command {
         Some(LogCommand::Inspect(args)) => run_inspect(&args.dir),
@@ -80,16 +81,16 @@
         Some(LogCommand::Restore(args)) => {
             let addr = args
                 .addr
-                .ok_or("the link address of the new host is needed")?;
+                .ok_or("missing argument: link address of the new host")?;
             let node = restore(&args.from, &args.to, addr, &args.data_centre)?;
             println!("node={node}");
             Ok(())
         }
-        None => Err("a command is needed; see --help".into()),
+        None => Err("missing subcommand; see --help".into()),
     }
 }
 
-/// Prints a line for each file; fails if one is damaged.
+/// Prints a line for each file; fails if a file is damaged.
 fn run_inspect(dir: &Path) -> Result<(), Box<dyn Error>> {
     let mut damaged = 0;
     for folder in folders(dir)? {
@@ -99,17 +100,18 @@
         }
     }
     if damaged > 0 {
-        return Err(format!("{damaged} files are damaged").into());
+        return Err(format!("damaged files: {damaged}").into());
     }
     Ok(())
 }
 
-/// Whether a file holds a fault that recovery would refuse.
+/// Whether a file has damage that recovery would refuse. A torn tail is
+/// repaired by recovery and does not count.
 fn is_damaged(report: &FileReport) -> bool {
     report.fault.is_some() && !report.is_torn()
 }
 
-/// The folder and those right below it, in order.
+/// The folder and its direct subfolders, sorted by path.
 fn folders(dir: &Path) -> Result<Vec<PathBuf>, Box<dyn Error>> {
     let mut folders = vec![dir.to_path_buf()];
     for entry in fs::read_dir(dir).map_err(|err| format!("{}: {err}", dir.display()))? {
--- a/crates/sapphirequay/src/main.rs
+++ b/crates/sapphirequay/src/main.rs
@@ -1,4 +1,5 @@
-//! The command `sapphirequay` for operators, callers and experiments.
+//! The command-line tool `sapphirequay` for operators, load tests and
+//! experiments.
 
 mod audit;
 mod config;
@@ -20,7 +21,7 @@
     std::{error::Error, path::PathBuf, process::ExitCode},
 };
 
-/// Arguments of the command.
+/// Arguments of `sapphirequay`.
 #[derive(Debug, Options)]
 struct Args {
     #[options(help = "print this help")]
@@ -29,32 +30,32 @@
     command: Option<Command>,
 }
 
-/// What to do.
+/// Subcommands of `sapphirequay`.
 #[derive(Debug, Options)]
 enum Command {
     #[options(help = "print the audit trail")]
     Audit(audit::AuditArgs),
-    #[options(help = "check, change and watch the configuration")]
+    #[options(help = "check, change and inspect the configuration")]
     Config(config::ConfigArgs),
-    #[options(help = "run every role and stand-ins in one process and call it")]
+    #[options(help = "run every role and stand-in upstreams in one process and send requests")]
     Demo(DemoArgs),
-    #[options(help = "run a seeded experiment over the decision logic")]
+    #[options(help = "run an experiment on the decision logic or the storage")]
     Experiment(experiment::ExperimentArgs),
-    #[options(help = "mark an upstream to leave: it gets no new work")]
+    #[options(help = "mark an upstream for draining: it receives no new requests")]
     Drain(drain::DrainArgs),
     #[options(help = "print the directory of upstreams")]
     Members(members::MembersArgs),
-    #[options(help = "print and clear quarantined content")]
+    #[options(help = "list and clear quarantined request content")]
     Quarantine(quarantine::QuarantineArgs),
-    #[options(help = "let an upstream stay after all")]
+    #[options(help = "remove the drain mark of an upstream")]
     Undrain(drain::DrainArgs),
     #[options(help = "show and change the members of a replicated group")]
     Group(group::GroupArgs),
-    #[options(help = "make keys for development")]
+    #[options(help = "generate keys for development")]
     Keys(KeysArgs),
-    #[options(help = "read the data folder of a ledger host")]
+    #[options(help = "inspect, back up and restore the data folder of a ledger host")]
     Log(log::LogArgs),
-    #[options(help = "run programs against running entries and measure them")]
+    #[options(help = "send load to running entries and measure latencies")]
     Load(load::LoadArgs),
     #[options(help = "run a stand-in of an engine, a service or a weight store")]
     StandIn(stand_in::StandInArgs),
@@ -76,10 +77,10 @@
     command: Option<KeysCommand>,
 }
 
-/// What to do with keys.
+/// Subcommands of `keys`.
 #[derive(Debug, Options)]
 enum KeysCommand {
-    #[options(help = "write a root and one certificate a role into a folder")]
+    #[options(help = "write a root certificate and one certificate per role into a folder")]
     Init(KeysInitArgs),
 }
 
@@ -93,7 +94,7 @@
     #[options(
         no_short,
         meta = "NAME",
-        help = "operator to make keys for; may be given again"
+        help = "operator to generate keys for; may be repeated"
     )]
     operator: Vec<String>,
 }
@@ -109,7 +110,7 @@
     }
 }
 
-/// Runs the command that was asked for.
+/// Dispatches to the given subcommand.
 fn run(args: Args) -> Result<(), Box<dyn Error>> {
     match args.command {
         Some(Command::Audit(args)) => audit::run(&args),
@@ -128,6 +129,6 @@
             command: Some(KeysCommand::Init(init)),
             ..
         })) => keys::init(&init.dir, &init.operator),
-        Some(Command::Keys(_)) | None => Err("a command is needed; see --help".into()),
+        Some(Command::Keys(_)) | None => Err("missing subcommand; see --help".into()),
     }
 }
--- a/crates/sapphirequay/src/members.rs
+++ b/crates/sapphirequay/src/members.rs
@@ -1,7 +1,7 @@
-//! `sapphirequay members`: the directory of upstreams.
+//! `sapphirequay members`: lists the directory of upstreams.
 
 use {
-    crate::operator::{Operator, operator_args, unexpected},
+    crate::operator::{Operator, operator_args, unexpected_reply},
     quay_types::UpstreamState,
     sapphirequayd::{ControlReply, ControlRequest, MemberRow},
     serde_json::json,
@@ -13,7 +13,7 @@
     MembersArgs {}
 );
 
-/// Name of a state.
+/// Printed name of a state.
 const fn state_name(state: UpstreamState) -> &'static str {
     match state {
         UpstreamState::Serving => "serving",
@@ -22,15 +22,15 @@
     }
 }
 
-/// Every upstream that the asked host knows.
+/// Reads the directory of upstreams from a ledger host.
 pub fn rows(operator: &mut Operator) -> Result<Box<[MemberRow]>, Box<dyn Error>> {
-    match operator.ask(&ControlRequest::Members)? {
+    match operator.request(&ControlRequest::Members)? {
         ControlReply::Members(rows) => Ok(rows),
-        other => Err(unexpected(&other)),
+        other => Err(unexpected_reply(&other)),
     }
 }
 
-/// Prints every upstream that the asked host knows.
+/// Prints the directory of upstreams.
 pub fn run(args: &MembersArgs) -> Result<(), Box<dyn Error>> {
     for row in &rows(&mut args.connect()?)? {
         if args.json {
@@ -42,7 +42,7 @@
     Ok(())
 }
 
-/// One upstream as JSON.
+/// Converts one upstream to JSON.
 fn to_json(row: &MemberRow) -> serde_json::Value {
     json!({
         "name": row.name, "incarnation": row.incarnation.0, "addr": row.addr.to_string(),
@@ -52,7 +52,7 @@
     })
 }
 
-/// Prints one upstream for a person.
+/// Prints one upstream as a line of text.
 fn print(row: &MemberRow) {
     let why = row.suspicion.as_deref().unwrap_or("-");
     println!(
--- a/crates/sapphirequay/src/operator.rs
+++ b/crates/sapphirequay/src/operator.rs
@@ -1,4 +1,4 @@
-//! What every operators' command shares: arguments, connection, output.
+//! Arguments, connection and output shared by the commands for operators.
 
 use {
     quay_config::{Accepted, Action, ChangeId},
@@ -8,13 +8,13 @@
     std::{error::Error, net::SocketAddr, path::Path, thread, time::Duration},
 };
 
-/// Sends of one request whose answer is lost.
+/// Maximum number of times one request is sent while its reply is lost.
 const MAX_SENDS: u32 = 6;
 
-/// Pause before a request is sent again.
-const RESEND_AFTER: Duration = Duration::from_millis(500);
+/// Delay before a request is sent again.
+const RESEND_DELAY: Duration = Duration::from_millis(500);
 
-/// Declares the arguments of a command that talks to the ledger hosts.
+/// Declares the arguments of a command that connects to the ledger hosts.
 macro_rules! operator_args {
     ($(#[$doc:meta])* $name:ident { $($fields:tt)* }) => {
         $(#[$doc])*
@@ -22,11 +22,11 @@
         pub struct $name {
             #[options(help = "print this help")]
             help: bool,
-            #[options(no_short, meta = "ADDR", help = "address of a ledger host; may be given again")]
+            #[options(no_short, meta = "ADDR", help = "address of a ledger host; may be repeated")]
             ledger: Vec<std::net::SocketAddr>,
-            #[options(no_short, meta = "DIR", help = "folder of the keys")]
+            #[options(no_short, meta = "DIR", help = "folder that holds the keys")]
             keys: Option<std::path::PathBuf>,
-            #[options(no_short, meta = "NAME", help = "operator whose keys are used")]
+            #[options(no_short, meta = "NAME", help = "operator whose keys are used; default: operator.pem")]
             operator: Option<String>,
             #[options(no_short, help = "print JSON")]
             json: bool,
@@ -34,7 +34,7 @@
         }
 
         impl $name {
-            /// Sets up links to the ledger hosts that the arguments name.
+            /// Creates a client of the ledger hosts given with `--ledger`.
             fn connect(&self) -> Result<$crate::operator::Operator, Box<dyn std::error::Error>> {
                 $crate::operator::Operator::connect(
                     &self.ledger,
@@ -48,22 +48,22 @@
 
 pub(crate) use operator_args;
 
-/// An operator who is connected to the control group.
+/// Client of the control group that authenticates as an operator.
 pub struct Operator {
     client: ControlClient,
 }
 
 impl Operator {
-    /// Sets up links under an operator's keys.
+    /// Creates a client of `hosts` with the keys of the operator `name`.
     pub fn connect(
         hosts: &[SocketAddr],
         keys: Option<&Path>,
         name: Option<&str>,
     ) -> Result<Self, Box<dyn Error>> {
         if hosts.is_empty() {
-            return Err("--ledger ADDR is needed".into());
+            return Err("missing option: --ledger ADDR".into());
         }
-        let dir = keys.ok_or("--keys DIR is needed")?;
+        let dir = keys.ok_or("missing option: --keys DIR")?;
         let files = match name {
             Some(name) => KeyFiles::for_operator(dir, name),
             None => KeyFiles::for_role(dir, LinkRole::Operator),
@@ -74,24 +74,25 @@
         })
     }
 
-    /// Asks; sends the request again while its answer is lost, which is safe
-    /// since a request with an id gets the first answer.
-    pub fn ask(&mut self, req: &ControlRequest) -> Result<ControlReply, ControlError> {
+    /// Sends a request, up to `MAX_SENDS` times while its reply is lost. Sending
+    /// again is safe: a request with a known id returns the first reply.
+    pub fn request(&mut self, req: &ControlRequest) -> Result<ControlReply, ControlError> {
         let mut sends = 1;
         loop {
             match self.client.request(req.clone()) {
                 Err(ControlError::Unknown(why)) if sends < MAX_SENDS => {
                     log::warn!("event=resend sends={sends} cause={why:?}");
                     sends += 1;
-                    thread::sleep(RESEND_AFTER);
+                    thread::sleep(RESEND_DELAY);
                 }
                 answer => return answer,
             }
         }
     }
 
-    /// Sends an order, and returns its id and what came of it.
-    pub fn order(
+    /// Submits an action and returns its change id and its result. The action
+    /// is only validated if `dry_run` is set.
+    pub fn submit(
         &mut self,
         action: Action,
         id: Option<&str>,
@@ -99,32 +100,32 @@
         dry_run: bool,
     ) -> Result<(ChangeId, Accepted), Box<dyn Error>> {
         let id = ChangeId(id.map_or_else(random_id, Into::into));
-        let order = OperatorCommand {
+        let command = OperatorCommand {
             id: id.clone(),
             cause: cause.into(),
             action,
             dry_run,
         };
-        match self.ask(&ControlRequest::Command(Box::new(order))) {
+        match self.request(&ControlRequest::Command(Box::new(command))) {
             Ok(ControlReply::Command(Ok(accepted))) => Ok((id, accepted)),
             Ok(ControlReply::Command(Err(refusal))) => Err(format!("refused: {refusal}").into()),
-            Ok(other) => Err(unexpected(&other)),
+            Ok(other) => Err(unexpected_reply(&other)),
             Err(fault) => Err(format!("change id {id}: {fault}").into()),
         }
     }
 }
 
-/// The error for an answer to another question.
-pub fn unexpected(reply: &ControlReply) -> Box<dyn Error> {
-    format!("the ledger host answered something else: {reply:?}").into()
+/// Error for a reply whose type does not match the request.
+pub fn unexpected_reply(reply: &ControlReply) -> Box<dyn Error> {
+    format!("unexpected reply from the ledger host: {reply:?}").into()
 }
 
-/// An id that no other request has.
+/// Random change id, unique with high probability.
 fn random_id() -> Box<str> {
     format!("op-{:016x}", rand::rng().next_u64()).into()
 }
 
-/// Prints an accepted order.
+/// Prints the result of an accepted action.
 pub fn print_accepted(json: bool, id: &ChangeId, accepted: &Accepted) {
     if json {
         let value = serde_json::json!({
@@ -143,17 +144,21 @@
 /// Seconds in a day.
 const DAY_S: u64 = 86_400;
 
-/// A time in milliseconds since the Unix epoch as `2026-12-03T21:09:00Z`.
-pub fn utc(time_ms: u64) -> String {
+/// Formats milliseconds since the Unix epoch as `2026-12-03T21:09:00Z`.
+pub fn format_utc(time_ms: u64) -> String {
     let seconds = time_ms / 1_000;
-    let (year, month, day) = date(seconds / DAY_S);
-    let of_day = seconds % DAY_S;
-    let (hour, minute, second) = (of_day / 3_600, of_day / 60 % 60, of_day % 60);
+    let (year, month, day) = civil_date(seconds / DAY_S);
+    let second_of_day = seconds % DAY_S;
+    let (hour, minute, second) = (
+        second_of_day / 3_600,
+        second_of_day / 60 % 60,
+        second_of_day % 60,
+    );
     format!("{year:04}-{month:02}-{day:02}T{hour:02}:{minute:02}:{second:02}Z")
 }
 
-/// Year, month and day of a count of days since 1970-01-01.
-fn date(mut days: u64) -> (u64, u64, u64) {
+/// Converts days since 1970-01-01 to year, month and day.
+fn civil_date(mut days: u64) -> (u64, u64, u64) {
     let mut year = 1970;
     loop {
         let length = if is_leap(year) { 366 } else { 365 };
--- a/crates/sapphirequay/src/quarantine.rs
+++ b/crates/sapphirequay/src/quarantine.rs
@@ -1,9 +1,9 @@
-//! `sapphirequay quarantine`: content that is not run.
+//! `sapphirequay quarantine`: lists and clears quarantined request content.
 
 use {
     crate::{
         config::show::image,
-        operator::{operator_args, print_accepted, utc},
+        operator::{format_utc, operator_args, print_accepted},
         section_file::parse_digest,
     },
     gumdrop::Options,
@@ -21,12 +21,12 @@
     command: Option<QuarantineCommand>,
 }
 
-/// What to do with quarantine.
+/// Subcommands of `quarantine`.
 #[derive(Debug, Options)]
 enum QuarantineCommand {
-    #[options(help = "print what is quarantined, and until when")]
+    #[options(help = "list quarantined content with its expiry time")]
     List(ListArgs),
-    #[options(help = "let content run again")]
+    #[options(help = "remove content from quarantine")]
     Clear(ClearArgs),
 }
 
@@ -38,51 +38,51 @@
 operator_args!(
     /// Arguments of `quarantine clear`.
     ClearArgs {
-        #[options(no_short, meta = "ID", help = "id of the request, to send it again")]
+        #[options(no_short, meta = "ID", help = "change id; reuse it to send the request again")]
         change_id: Option<String>,
-        #[options(no_short, meta = "TEXT", help = "why, for the audit trail")]
+        #[options(no_short, meta = "TEXT", help = "reason recorded in the audit trail")]
         cause: Option<String>,
-        #[options(no_short, help = "clear everything")]
+        #[options(no_short, help = "clear all quarantined content")]
         all: bool,
         #[options(free, help = "digest of the content")]
         digest: Option<String>,
     }
 );
 
-/// Runs the command that was asked for.
+/// Dispatches to the given subcommand.
 pub fn run(args: QuarantineArgs) -> Result<(), Box<dyn Error>> {
     match args.command {
         Some(QuarantineCommand::List(args)) => list(&args),
         Some(QuarantineCommand::Clear(args)) => clear(&args),
-        None => Err("a command is needed; see --help".into()),
+        None => Err("missing subcommand; see --help".into()),
     }
 }
 
-/// Prints what is quarantined.
+/// Prints the quarantined digests with their expiry times.
 fn list(args: &ListArgs) -> Result<(), Box<dyn Error>> {
     let image = image(&mut args.connect()?)?;
-    for (digest, mark) in &image.quarantined {
+    for (digest, entry) in &image.quarantined {
         if args.json {
-            let value = json!({"digest": digest.to_string(), "until_ms": mark.until_ms});
+            let value = json!({"digest": digest.to_string(), "until_ms": entry.until_ms});
             println!("{value}");
         } else {
-            println!("{digest} until {}", utc(mark.until_ms));
+            println!("{digest} until {}", format_utc(entry.until_ms));
         }
     }
     Ok(())
 }
 
-/// Clears one content, or everything.
+/// Removes one digest, or all of them, from quarantine.
 fn clear(args: &ClearArgs) -> Result<(), Box<dyn Error>> {
     let digest = match (&args.digest, args.all) {
         (Some(digest), false) => Some(parse_digest(digest)?),
         (None, true) => None,
-        _ => return Err("name a digest, or --all".into()),
+        _ => return Err("either a digest or --all is required".into()),
     };
     let cause = args.cause.as_deref().unwrap_or_default();
     let mut operator = args.connect()?;
     let action = Action::ClearQuarantine(digest);
-    let (id, accepted) = operator.order(action, args.change_id.as_deref(), cause, false)?;
+    let (id, accepted) = operator.submit(action, args.change_id.as_deref(), cause, false)?;
     print_accepted(args.json, &id, &accepted);
     Ok(())
 }
--- a/crates/sapphirequay/src/section_file.rs
+++ b/crates/sapphirequay/src/section_file.rs
@@ -1,4 +1,5 @@
-//! A section in a file, with what it was made from in its first line.
+//! File format of `config show` and `config apply`: a section of the
+//! configuration with its base revision in the first line.
 
 use {
     quay_config::SectionRevision,
@@ -6,24 +7,24 @@
     std::{error::Error, fmt, str::FromStr},
 };
 
-/// Start of the line that says what the text was made from.
-const BASE_MARK: &str = "#:base ";
+/// Prefix of the first line, which holds section name, version and digest.
+const BASE_PREFIX: &str = "#:base ";
 
-/// A section's text and what it was made from.
+/// Text of a section and the revision that it was edited from.
 #[derive(Debug, PartialEq, Eq)]
 pub struct SectionFile {
     /// Name of the section.
     pub section: Box<str>,
-    /// What the text was made from.
+    /// Revision that the text was edited from.
     pub base: SectionRevision,
-    /// The text, without the first line.
+    /// Text of the section, without the first line.
     pub text: Box<str>,
 }
 
 impl fmt::Display for SectionFile {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let SectionRevision { version, digest } = self.base;
-        writeln!(f, "{BASE_MARK}{} {version} {digest}", self.section)?;
+        writeln!(f, "{BASE_PREFIX}{} {version} {digest}", self.section)?;
         f.write_str(&self.text)
     }
 }
@@ -34,8 +35,8 @@
     fn from_str(file: &str) -> Result<Self, Self::Err> {
         let (first, text) = file.split_once('\n').unwrap_or((file, ""));
         let fields: Vec<_> = first
-            .strip_prefix(BASE_MARK)
-            .ok_or("the first line must say what the text was made from; see `config show`")?
+            .strip_prefix(BASE_PREFIX)
+            .ok_or("the first line must be the base revision that `config show` prints")?
             .split_whitespace()
             .collect();
         let [section, version, digest] = fields[..] else {
@@ -53,12 +54,12 @@
     }
 }
 
-/// Reads a digest as it is printed.
+/// Parses a digest in its printed form.
 pub fn parse_digest(text: &str) -> Result<ContentDigest, Box<dyn Error>> {
     let number = u128::from_str_radix(text, 16)
         .ok()
         .filter(|_| text.len() == 32)
-        .ok_or_else(|| format!("{text:?} is no digest of 32 hexadecimal digits"))?;
-    // A digest is encoded as its bytes, without a length.
+        .ok_or_else(|| format!("invalid digest {text:?}: must be 32 hexadecimal digits"))?;
+    // `ContentDigest` is encoded as its 16 bytes, without a length prefix.
     Ok(postcard::from_bytes(&number.to_be_bytes())?)
 }
--- a/crates/sapphirequay/src/stand_in.rs
+++ b/crates/sapphirequay/src/stand_in.rs
@@ -1,4 +1,5 @@
-//! `sapphirequay stand-in`: a stand-in as a process of its own.
+//! `sapphirequay stand-in`: runs a stand-in upstream or weight store as a
+//! process.
 
 use {
     gumdrop::Options,
@@ -17,14 +18,14 @@
     command: Option<Command>,
 }
 
-/// Which stand-in.
+/// Kind of stand-in to run.
 #[derive(Debug, Options)]
 enum Command {
     #[options(help = "a model engine")]
     Engine(EngineArgs),
-    #[options(help = "a plain service that counts what it runs")]
+    #[options(help = "a service that counts the requests it runs")]
     Service(ServiceArgs),
-    #[options(help = "a weight store with a limited rate")]
+    #[options(help = "a weight store with a limited transfer rate")]
     Weights(WeightsArgs),
 }
 
@@ -35,27 +36,32 @@
     help: bool,
     #[options(no_short, required, help = "address to listen on", meta = "ADDR")]
     listen: Option<SocketAddr>,
-    #[options(no_short, help = "tokens in an answer", default = "64", meta = "N")]
+    #[options(no_short, help = "tokens per answer", default = "64", meta = "N")]
     answer_tokens: u64,
-    #[options(no_short, help = "blocks of KV memory", default = "4096", meta = "N")]
+    #[options(
+        no_short,
+        help = "capacity of the KV cache, in blocks",
+        default = "4096",
+        meta = "N"
+    )]
     kv_blocks: u32,
     #[options(
         no_short,
-        help = "a prompt with this text crashes the engine",
+        help = "crash on a prompt that contains this text",
         meta = "TEXT"
     )]
     poison: Option<String>,
-    #[options(no_short, help = "take orders with old fence numbers too")]
+    #[options(no_short, help = "accept requests with outdated fence numbers")]
     ignore_fence: bool,
     #[options(
         no_short,
-        help = "no model of batches: this pause before each token",
+        help = "fixed pause before each token, instead of the batching model",
         meta = "MS"
     )]
     fixed_gap_ms: Option<u64>,
     #[options(
         no_short,
-        help = "each token's text is the time at which it was written"
+        help = "send as each token's text the time at which it was written"
     )]
     stamps: bool,
 }
@@ -67,9 +73,14 @@
     help: bool,
     #[options(no_short, required, help = "address to listen on", meta = "ADDR")]
     listen: Option<SocketAddr>,
-    #[options(no_short, help = "time of one request", default = "50", meta = "MS")]
+    #[options(
+        no_short,
+        help = "service time of a request",
+        default = "50",
+        meta = "MS"
+    )]
     delay_ms: u64,
-    #[options(no_short, help = "answer a known request without running it again")]
+    #[options(no_short, help = "answer a repeated request without running it again")]
     idempotent: bool,
 }
 
@@ -80,19 +91,24 @@
     help: bool,
     #[options(no_short, required, help = "address to listen on", meta = "ADDR")]
     listen: Option<SocketAddr>,
-    #[options(no_short, help = "bytes a second", default = "1000000000", meta = "N")]
+    #[options(
+        no_short,
+        help = "transfer rate in bytes per second",
+        default = "1000000000",
+        meta = "N"
+    )]
     rate: u64,
 }
 
-/// Runs a stand-in until the process is ended.
+/// Runs a stand-in until the process is terminated.
 pub fn run(args: StandInArgs) -> Result<(), Box<dyn Error>> {
-    let missing = "--listen ADDR is needed";
+    let missing = "missing option: --listen ADDR";
     match args.command {
         Some(Command::Engine(args)) => {
             let listen = args.listen.ok_or(missing)?;
             let engine = Engine::start(listen, engine_settings(args))?;
-            announce("engine", engine.addr());
-            forever(engine)
+            print_address("engine", engine.addr());
+            park_forever(engine)
         }
         Some(Command::Service(args)) => {
             let settings = ServiceSettings {
@@ -100,19 +116,19 @@
                 idempotent: args.idempotent,
             };
             let service = Service::start(args.listen.ok_or(missing)?, settings)?;
-            announce("service", service.addr());
-            forever(service)
+            print_address("service", service.addr());
+            park_forever(service)
         }
         Some(Command::Weights(args)) => {
             let weights = WeightServer::start(args.listen.ok_or(missing)?, args.rate)?;
-            announce("weights", weights.addr());
-            forever(weights)
+            print_address("weights", weights.addr());
+            park_forever(weights)
         }
-        None => Err("one of engine, service and weights is needed; see --help".into()),
+        None => Err("missing subcommand: engine, service or weights; see --help".into()),
     }
 }
 
-/// The settings that the arguments ask for.
+/// Converts the arguments to engine settings.
 fn engine_settings(args: EngineArgs) -> EngineSettings {
     let model = ModelSettings {
         kv_blocks: args.kv_blocks,
@@ -131,13 +147,13 @@
     }
 }
 
-/// Says that a stand-in can be called.
-fn announce(what: &str, addr: SocketAddr) {
-    println!("{what} listens on {addr}");
+/// Prints the address once a stand-in accepts connections.
+fn print_address(kind: &str, addr: SocketAddr) {
+    println!("{kind} listens on {addr}");
 }
 
-/// Keeps a stand-in until the process is ended.
-fn forever<T>(_running: T) -> ! {
+/// Keeps a stand-in alive until the process is terminated.
+fn park_forever<T>(_stand_in: T) -> ! {
     loop {
         thread::park();
     }
--- a/crates/sapphirequay/tests/operators.rs
+++ b/crates/sapphirequay/tests/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' commands against a ledger host over real sockets.
+//! Runs the commands for operators against a ledger host over real sockets.
 
 use {
     quay_link::{DevelopmentKeys, KeyFiles, LinkRole},
@@ -14,8 +14,8 @@
     tempfile::TempDir,
 };
 
-/// Longest wait for anything that has to come to pass.
-const LIMIT: Duration = Duration::from_secs(30);
+/// Time after which waiting for an expected event fails the test.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 const DOCUMENT: &str = r#"[platform.owners]
 platform = ["root"]
@@ -31,12 +31,13 @@
 key_sha256 = "486ea46224d1bb4fb680f34f7c9ad96a8f24ec88be73ea8e5a6c65260e9cb8a7"
 "#;
 
-struct Stand {
+/// A ledger host with a folder that holds operator keys and edited sections.
+struct TestLedger {
     folder: TempDir,
     ledger: Daemon,
 }
 
-impl Stand {
+impl TestLedger {
     fn start() -> Self {
         let folder = TempDir::new().expect("folder");
         let keys = folder.path().join("keys");
@@ -57,13 +58,16 @@
         let ledger = Daemon::start(&settings, identity.expect("identity")).expect("ledger");
         let began = Instant::now();
         while ledger.config_index().0 == 0 {
-            assert!(began.elapsed() < LIMIT, "no document came into force");
+            assert!(
+                began.elapsed() < WAIT_TIMEOUT,
+                "the initial document was not activated in time"
+            );
             thread::sleep(Duration::from_millis(20));
         }
         Self { folder, ledger }
     }
 
-    /// Runs a command as an operator.
+    /// Runs a command with the keys of an operator.
     fn run(&self, operator: &str, args: &[&str]) -> Output {
         let addr = self.ledger.link_addr().expect("address").to_string();
         Command::new(env!("CARGO_BIN_EXE_sapphirequay"))
@@ -74,24 +78,25 @@
             .expect("command")
     }
 
-    /// Runs a command that must succeed; its output.
-    fn ok(&self, operator: &str, args: &[&str]) -> String {
+    /// Runs a command that must succeed and returns its standard output.
+    fn run_ok(&self, operator: &str, args: &[&str]) -> String {
         let output = self.run(operator, args);
         let text = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(output.status.success(), "{args:?}: {text}");
         String::from_utf8(output.stdout).expect("text")
     }
 
-    /// Runs a command that must fail; its message.
-    fn refused(&self, operator: &str, args: &[&str]) -> String {
+    /// Runs a command that must fail and returns its standard error.
+    fn run_failing(&self, operator: &str, args: &[&str]) -> String {
         let output = self.run(operator, args);
         assert!(!output.status.success(), "{args:?}");
         String::from_utf8(output.stderr).expect("text")
     }
 
-    /// Writes what `config show` prints into a file, with one text replaced.
+    /// Writes the output of `config show` to the file `name`, with the first
+    /// occurrence of `old` replaced by `new`.
     fn edit(&self, section: &str, name: &str, old: &str, new: &str) -> PathBuf {
-        let text = self.ok("ada", &["config", "show", section]);
+        let text = self.run_ok("ada", &["config", "show", section]);
         assert!(text.contains(old), "{text}");
         let path = self.folder.path().join(name);
         fs::write(&path, text.replacen(old, new, 1)).expect("file");
@@ -108,11 +113,11 @@
 }
 
 #[test]
-fn a_change_is_made_raced_and_sent_again() {
-    let stand = Stand::start();
-    let heavy = stand.edit("ordering", "heavy.toml", "100", "300");
-    let light = stand.edit("ordering", "light.toml", "100", "50");
-    let dry = stand.ok("ada", &["config", "apply", "--dry-run", path(&heavy)]);
+fn config_apply_is_idempotent_and_rejects_outdated_foreign_and_invalid_changes() {
+    let ledger = TestLedger::start();
+    let heavy = ledger.edit("ordering", "heavy.toml", "100", "300");
+    let light = ledger.edit("ordering", "light.toml", "100", "50");
+    let dry = ledger.run_ok("ada", &["config", "apply", "--dry-run", path(&heavy)]);
     assert!(dry.contains("version=2"), "{dry}");
     let apply = [
         "config",
@@ -122,29 +127,32 @@
         "c-1",
         path(&heavy),
     ];
-    let first = json(&stand.ok("ada", &apply));
+    let first = json(&ledger.run_ok("ada", &apply));
     assert_eq!(first["version"], 2);
-    // The answer is lost, and the operator sends the change again.
-    assert_eq!(json(&stand.ok("ada", &apply)), first);
+    // The reply is lost and the operator sends the same change again.
+    assert_eq!(json(&ledger.run_ok("ada", &apply)), first);
 
-    let race = stand.refused("ada", &["config", "apply", path(&light)]);
-    assert!(race.contains("version 2"), "{race}");
-    assert!(race.contains("-weight = 300\n+weight = 50"), "{race}");
-    let diff = stand.ok("ada", &["config", "diff", path(&light)]);
+    let conflict = ledger.run_failing("ada", &["config", "apply", path(&light)]);
+    assert!(conflict.contains("version 2"), "{conflict}");
+    assert!(
+        conflict.contains("-weight = 300\n+weight = 50"),
+        "{conflict}"
+    );
+    let diff = ledger.run_ok("ada", &["config", "diff", path(&light)]);
     assert!(diff.contains("-weight = 300\n+weight = 50"), "{diff}");
 
-    let foreign = stand.edit("haulage", "foreign.toml", "ranch-1", "ranch-2");
-    let refused = stand.refused("ada", &["config", "apply", path(&foreign)]);
+    let foreign = ledger.edit("haulage", "foreign.toml", "ranch-1", "ranch-2");
+    let refused = ledger.run_failing("ada", &["config", "apply", path(&foreign)]);
     assert!(
         refused.contains("ada does not own section haulage"),
         "{refused}"
     );
-    let broken = stand.edit("ordering", "broken.toml", "300", "0");
-    let refused = stand.refused("ada", &["config", "apply", path(&broken)]);
+    let broken = ledger.edit("ordering", "broken.toml", "300", "0");
+    let refused = ledger.run_failing("ada", &["config", "apply", path(&broken)]);
     let place = "section ordering, line 4, key ordering.accounts.shop-12.weight";
     assert!(refused.contains(place), "{refused}");
 
-    let history = stand.ok(
+    let history = ledger.run_ok(
         "ada",
         &["config", "history", "--section", "ordering", "--json"],
     );
@@ -152,36 +160,42 @@
         .lines()
         .map(|line| json(line)["refused"].is_null())
         .collect();
-    // The first document, the change, the race and the invalid text.
+    // The initial document, the accepted change, the change with an outdated
+    // base and the invalid text.
     assert_eq!(refusals, [true, true, false, false]);
-    let status = json(&stand.ok("eve", &["config", "status", "--json"]));
+    let status = json(&ledger.run_ok("eve", &["config", "status", "--json"]));
     assert_eq!(status["sections"][1]["version"], 2);
     assert_eq!(status["sections"][1]["author"], "ada");
     assert_eq!(status["daemons"][0]["name"], "ledger-1");
 }
 
 #[test]
-fn drains_are_audited_and_only_owners_order_them() {
-    let stand = Stand::start();
-    stand.ok("bruno", &["drain", "engine-1", "--cause", "new disk"]);
+fn only_owners_may_drain_and_every_attempt_is_audited() {
+    let ledger = TestLedger::start();
+    ledger.run_ok("bruno", &["drain", "engine-1", "--cause", "new disk"]);
     assert!(
-        stand
-            .refused("eve", &["undrain", "engine-1"])
+        ledger
+            .run_failing("eve", &["undrain", "engine-1"])
             .contains("eve owns no section")
     );
-    stand.ok("ada", &["undrain", "engine-1"]);
-    let again = stand.refused("ada", &["undrain", "engine-1"]);
+    ledger.run_ok("ada", &["undrain", "engine-1"]);
+    let again = ledger.run_failing("ada", &["undrain", "engine-1"]);
     assert!(again.contains("no drain mark"), "{again}");
-    stand.ok("ada", &["quarantine", "clear", "--all"]);
-    assert_eq!(stand.ok("ada", &["quarantine", "list"]), "");
-    assert_eq!(stand.ok("ada", &["members"]), "");
-    let trail = stand.ok("eve", &["audit", "--json"]);
-    let told: Vec<_> = trail
+    ledger.run_ok("ada", &["quarantine", "clear", "--all"]);
+    assert_eq!(ledger.run_ok("ada", &["quarantine", "list"]), "");
+    assert_eq!(ledger.run_ok("ada", &["members"]), "");
+    let trail = ledger.run_ok("eve", &["audit", "--json"]);
+    let printed: Vec<_> = trail
         .lines()
         .map(json)
         .map(|record| {
-            let word = |name: &str| record[name].as_str().unwrap_or("-").to_owned();
-            format!("{} {} {}", word("author"), word("action"), word("refused"))
+            let field = |name: &str| record[name].as_str().unwrap_or("-").to_owned();
+            format!(
+                "{} {} {}",
+                field("author"),
+                field("action"),
+                field("refused")
+            )
         })
         .collect();
     let expected = [
@@ -192,11 +206,11 @@
         "ada undrain engine-1 upstream engine-1 has no drain mark",
         "ada clear all -",
     ];
-    assert_eq!(told, expected);
+    assert_eq!(printed, expected);
 }
 
 #[test]
-fn a_document_is_checked_without_a_ledger() {
+fn config_check_validates_a_document_offline() {
     let folder = TempDir::new().expect("folder");
     let file = folder.path().join("document.toml");
     let check = || {
@@ -211,8 +225,8 @@
     fs::write(&file, DOCUMENT).expect("file");
     assert_eq!(check(), (true, String::new()));
     fs::write(&file, DOCUMENT.replace("weight = 100", "weight = 0")).expect("file");
-    let (passed, told) = check();
+    let (passed, printed) = check();
     assert!(!passed);
     let place = "line 9, key ordering.accounts.shop-12.weight: must be greater than 0";
-    assert!(told.contains(place), "{told}");
+    assert!(printed.contains(place), "{printed}");
 }
