--- a/crates/sapphirequay/src/load/overhead.rs
+++ b/crates/sapphirequay/src/load/overhead.rs
@@ -96,13 +96,13 @@
 ) -> Result<Value, Box<dyn Error>> {
     let mut paths = [PathMeasurements::new()?, PathMeasurements::new()?];
     let idle = watched.memory();
-    let mut peak = idle.clone();
+    let mut most = idle.clone();
     let before = watched.cpu();
     for _ in 0..rounds {
         for (path, target) in [direct, entry].into_iter().enumerate() {
             let memory = run_round(target, count, &mut paths[path], watched)?;
-            for (peak, now) in peak.iter_mut().zip(memory) {
-                *peak = (*peak).max(now);
+            for (most, now) in most.iter_mut().zip(memory) {
+                *most = (*most).max(now);
             }
         }
     }
@@ -118,7 +118,7 @@
         "added_first_p99_ms": added(0.99, |path| &path.first),
         "added_token_p50_ms": added(0.50, |path| &path.token),
         "added_token_p99_ms": added(0.99, |path| &path.token),
-        "processes": watched.json(&before, &after, &idle, &peak, entry.tokens, count),
+        "processes": watched.json(&before, &after, &idle, &most, entry.tokens, count),
     }))
 }
 
--- a/crates/sapphirequay/src/load/watch.rs
+++ b/crates/sapphirequay/src/load/watch.rs
@@ -39,26 +39,26 @@
     }
 
     /// Reports the CPU time of each process per token and its memory growth per
-    /// stream. `before` and `after` are CPU times in seconds, `idle` and `peak`
-    /// memory in KiB.
+    /// stream. `before` and `after` are CPU times in seconds, `idle` and `most`
+    /// the idle and peak memory in KiB.
     #[allow(clippy::cast_precision_loss)] // Counts stay far below 2^52.
     pub fn json(
         &self,
         before: &[f64],
         after: &[f64],
         idle: &[u64],
-        peak: &[u64],
+        most: &[u64],
         tokens: u64,
         streams: usize,
     ) -> Value {
         let rows = self.0.iter().enumerate().map(|(position, (name, _))| {
             let spent = after[position] - before[position];
-            let growth = peak[position].saturating_sub(idle[position]);
+            let growth = most[position].saturating_sub(idle[position]);
             json!({
                 "name": name,
                 "cpu_s": spent,
                 "cpu_us_a_token": spent * 1e6 / (tokens.max(1) as f64),
-                "idle_kib": idle[position], "most_kib": peak[position],
+                "idle_kib": idle[position], "most_kib": most[position],
                 "kib_a_stream": growth as f64 / streams as f64,
             })
         });
--- a/crates/sapphirequay/src/stand_in.rs
+++ b/crates/sapphirequay/src/stand_in.rs
@@ -55,7 +55,7 @@
     ignore_fence: bool,
     #[options(
         no_short,
-        help = "fixed pause before each token, instead of the batching model",
+        help = "fixed pause before each token, instead of the model that batches requests",
         meta = "MS"
     )]
     fixed_gap_ms: Option<u64>,
--- a/crates/sapphirequay/tests/operators.rs
+++ b/crates/sapphirequay/tests/operators.rs
@@ -39,10 +39,12 @@
 
 impl TestLedger {
     fn start() -> Self {
-        let folder = TempDir::new().expect("folder");
+        let folder = TempDir::new().expect("create temporary folder");
         let keys = folder.path().join("keys");
-        let made = DevelopmentKeys::generate().expect("keys");
-        made.write(&keys, &["ada", "bruno", "eve"]).expect("keys");
+        let generated = DevelopmentKeys::generate().expect("generate keys");
+        generated
+            .write(&keys, &["ada", "bruno", "eve"])
+            .expect("write keys");
         let settings = Settings {
             process: ProcessSettings {
                 name: "ledger-1".into(),
@@ -55,7 +57,8 @@
             ..Settings::default()
         };
         let identity = KeyFiles::for_role(&keys, LinkRole::Ledger).load();
-        let ledger = Daemon::start(&settings, identity.expect("identity")).expect("ledger");
+        let ledger =
+            Daemon::start(&settings, identity.expect("load ledger keys")).expect("start ledger");
         let began = Instant::now();
         while ledger.config_index().0 == 0 {
             assert!(
@@ -69,13 +72,13 @@
 
     /// Runs a command with the keys of an operator.
     fn run(&self, operator: &str, args: &[&str]) -> Output {
-        let addr = self.ledger.link_addr().expect("address").to_string();
+        let addr = self.ledger.link_addr().expect("link address").to_string();
         Command::new(env!("CARGO_BIN_EXE_sapphirequay"))
             .args(args)
             .args(["--ledger", &addr, "--operator", operator, "--keys"])
             .arg(self.folder.path().join("keys"))
             .output()
-            .expect("command")
+            .expect("run command")
     }
 
     /// Runs a command that must succeed and returns its standard output.
@@ -83,14 +86,14 @@
         let output = self.run(operator, args);
         let text = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(output.status.success(), "{args:?}: {text}");
-        String::from_utf8(output.stdout).expect("text")
+        String::from_utf8(output.stdout).expect("UTF-8 output")
     }
 
     /// Runs a command that must fail and returns its standard error.
     fn run_failing(&self, operator: &str, args: &[&str]) -> String {
         let output = self.run(operator, args);
         assert!(!output.status.success(), "{args:?}");
-        String::from_utf8(output.stderr).expect("text")
+        String::from_utf8(output.stderr).expect("UTF-8 output")
     }
 
     /// Writes the output of `config show` to the file `name`, with the first
@@ -99,17 +102,17 @@
         let text = self.run_ok("ada", &["config", "show", section]);
         assert!(text.contains(old), "{text}");
         let path = self.folder.path().join(name);
-        fs::write(&path, text.replacen(old, new, 1)).expect("file");
+        fs::write(&path, text.replacen(old, new, 1)).expect("write file");
         path
     }
 }
 
 fn path(path: &Path) -> &str {
-    path.to_str().expect("path")
+    path.to_str().expect("UTF-8 path")
 }
 
 fn json(line: &str) -> Value {
-    serde_json::from_str(line).expect("json")
+    serde_json::from_str(line).expect("parse JSON")
 }
 
 #[test]
@@ -211,20 +214,20 @@
 
 #[test]
 fn config_check_validates_a_document_offline() {
-    let folder = TempDir::new().expect("folder");
+    let folder = TempDir::new().expect("create temporary folder");
     let file = folder.path().join("document.toml");
     let check = || {
         let mut command = Command::new(env!("CARGO_BIN_EXE_sapphirequay"));
         let output = command.args(["config", "check", path(&file)]).output();
-        let output = output.expect("command");
+        let output = output.expect("run command");
         (
             output.status.success(),
-            String::from_utf8(output.stdout).expect("text"),
+            String::from_utf8(output.stdout).expect("UTF-8 output"),
         )
     };
-    fs::write(&file, DOCUMENT).expect("file");
+    fs::write(&file, DOCUMENT).expect("write file");
     assert_eq!(check(), (true, String::new()));
-    fs::write(&file, DOCUMENT.replace("weight = 100", "weight = 0")).expect("file");
+    fs::write(&file, DOCUMENT.replace("weight = 100", "weight = 0")).expect("write file");
     let (passed, printed) = check();
     assert!(!passed);
     let place = "line 9, key ordering.accounts.shop-12.weight: must be greater than 0";
