--- a/crates/sapphirequay/src/group.rs
+++ b/crates/sapphirequay/src/group.rs
@@ -23,7 +23,7 @@
     )]
     keys: PathBuf,
     #[options(
-        help = "operator whose keys are used; default: operator.pem",
+        help = "operator whose keys to show to the host; default: operator.pem",
         meta = "NAME"
     )]
     operator: Option<String>,
--- a/crates/sapphirequay/src/load/mod.rs
+++ b/crates/sapphirequay/src/load/mod.rs
@@ -25,12 +25,7 @@
     entry: Vec<SocketAddr>,
     #[options(no_short, help = "bearer key", default = "demo-key", meta = "KEY")]
     key: String,
-    #[options(
-        no_short,
-        help = "model to call",
-        default = "demo-model",
-        meta = "NAME"
-    )]
+    #[options(no_short, help = "model", default = "demo-model", meta = "NAME")]
     model: String,
     #[options(
         no_short,
--- a/crates/sapphirequay/src/load/overhead.rs
+++ b/crates/sapphirequay/src/load/overhead.rs
@@ -144,7 +144,7 @@
         match caller.join().map_err(|_| "a caller thread panicked")? {
             Ok(outcome) => measured.add(&outcome),
             Err(err) => {
-                eprintln!("call failed: {err}");
+                eprintln!("failed call: {err}");
                 measured.failed += 1;
             }
         }
--- a/crates/sapphirequay/tests/operators.rs
+++ b/crates/sapphirequay/tests/operators.rs
@@ -41,10 +41,10 @@
     fn start() -> Self {
         let folder = TempDir::new().expect("create temporary folder");
         let keys = folder.path().join("keys");
-        let generated = DevelopmentKeys::generate().expect("generate keys");
+        let generated = DevelopmentKeys::generate().expect("keys");
         generated
             .write(&keys, &["ada", "bruno", "eve"])
-            .expect("write keys");
+            .expect("keys");
         let settings = Settings {
             process: ProcessSettings {
                 name: "ledger-1".into(),
@@ -57,8 +57,7 @@
             ..Settings::default()
         };
         let identity = KeyFiles::for_role(&keys, LinkRole::Ledger).load();
-        let ledger =
-            Daemon::start(&settings, identity.expect("load ledger keys")).expect("start ledger");
+        let ledger = Daemon::start(&settings, identity.expect("identity")).expect("ledger");
         let began = Instant::now();
         while ledger.config_index().0 == 0 {
             assert!(
@@ -86,14 +85,14 @@
         let output = self.run(operator, args);
         let text = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(output.status.success(), "{args:?}: {text}");
-        String::from_utf8(output.stdout).expect("UTF-8 output")
+        String::from_utf8(output.stdout).expect("text")
     }
 
     /// Runs a command that must fail and returns its standard error.
     fn run_failing(&self, operator: &str, args: &[&str]) -> String {
         let output = self.run(operator, args);
         assert!(!output.status.success(), "{args:?}");
-        String::from_utf8(output.stderr).expect("UTF-8 output")
+        String::from_utf8(output.stderr).expect("text")
     }
 
     /// Writes the output of `config show` to the file `name`, with the first
@@ -222,7 +221,7 @@
         let output = output.expect("run command");
         (
             output.status.success(),
-            String::from_utf8(output.stdout).expect("UTF-8 output"),
+            String::from_utf8(output.stdout).expect("text"),
         )
     };
     fs::write(&file, DOCUMENT).expect("write file");
