--- a/crates/sapphirequayd/tests/gateway_parts.rs
+++ b/crates/sapphirequayd/tests/gateway_parts.rs
@@ -222,10 +222,16 @@
     let startup = StartupWait::new(Time::ZERO, std::time::Duration::from_secs(5));
     let lookup = || None::<u32>;
     let deadline = Time::from_millis(90_000);
-    assert_eq!(startup.wait_for(deadline, manual_clock(&now), lookup).await, None);
+    assert_eq!(
+        startup.wait_for(deadline, manual_clock(&now), lookup).await,
+        None
+    );
     now.set(1_000);
     let deadline = Time::from_millis(1_000);
-    assert_eq!(startup.wait_for(deadline, manual_clock(&now), lookup).await, None);
+    assert_eq!(
+        startup.wait_for(deadline, manual_clock(&now), lookup).await,
+        None
+    );
 }
 
 // ---------------------------------------------------------------------------
