--- a/crates/sapphirequay/src/load/overhead.rs
+++ b/crates/sapphirequay/src/load/overhead.rs
@@ -1,5 +1,5 @@
 //! Measures the latency that entry and sidecar add to a token, compared with
-//! direct calls to the engine.
+//! direct calls to the engine, and the CPU time and memory of watched processes.
 
 use {
     super::{
