--- a/crates/quay_experiment/src/policy/calls.rs
+++ b/crates/quay_experiment/src/policy/calls.rs
@@ -76,7 +76,7 @@
         let (spec, state) = (&self.specs[program], &mut self.states[program]);
         let turn = &spec.turns[state.turn];
         let prompt = spec.prompt(state.turn);
-        let known = ((prompt + turn.output) / BLOCK_TOKENS) as usize;
+        let block_count = ((prompt + turn.output) / BLOCK_TOKENS) as usize;
         let digest = ContentDigest::of(&[
             &spec.id.root.to_le_bytes(),
             &spec.id.branch.to_le_bytes(),
@@ -94,7 +94,7 @@
             enqueued_at: self.now,
             prompt,
             output: turn.output,
-            blocks: spec.blocks[..known.min(spec.blocks.len())].into(),
+            blocks: spec.blocks[..block_count.min(spec.blocks.len())].into(),
             expected_cached_blocks: 0,
             pending_prefill: 0,
             last_token: None,
@@ -268,9 +268,9 @@
         let in_progress = state.attained > 0 || self.specs[open.program].depth > 0;
         let quota = &mut self.quota_holders[entry];
         if quota.needs_lease(self.now, account) {
-            let (id, wanted) = (entry as u64, quota.demand(account));
+            let (id, demand) = (entry as u64, quota.demand(account));
             let limit = self.cfg.account_calls;
-            let lease = self.allocator.lease(self.now, account, id, wanted, limit);
+            let lease = self.allocator.lease(self.now, account, id, demand, limit);
             quota.set_lease(account, lease);
         }
         let granted = quota.begin_call(self.now, account, in_progress);
@@ -292,12 +292,12 @@
         if !self.suspects.is_suspect(digest) {
             return Clearance::Unrestricted;
         }
-        let ask = SuspectCommand::RequestClearance {
+        let command = SuspectCommand::RequestClearance {
             at: self.now,
             digest,
             upstream,
         };
-        match self.suspects.apply(&ask) {
+        match self.suspects.apply(&command) {
             SuspectReply::Clearance(clearance) => clearance,
             SuspectReply::Done => Clearance::Unrestricted,
         }
@@ -362,8 +362,8 @@
     fn start_admitted(&mut self, index: usize, call: usize) {
         let open = &mut self.calls[call];
         open.running = true;
-        let waited = self.now.since(open.enqueued_at);
-        self.counters.longest_wait = self.counters.longest_wait.max(waited);
+        let queue_time = self.now.since(open.enqueued_at);
+        self.counters.longest_wait = self.counters.longest_wait.max(queue_time);
         let spec = &self.specs[open.program];
         let job = Job {
             id: job_id(call),
--- a/crates/quay_experiment/src/policy/report.rs
+++ b/crates/quay_experiment/src/policy/report.rs
@@ -75,7 +75,7 @@
         for _ in 0..THREADS {
             scope.spawn(|| {
                 loop {
-                    let index = take_next(&next);
+                    let index = next_job_index(&next);
                     let Some((scenario, policy)) = jobs.get(index) else {
                         return;
                     };
@@ -96,7 +96,7 @@
     }
 }
 
-fn take_next(next: &Mutex<usize>) -> usize {
+fn next_job_index(next: &Mutex<usize>) -> usize {
     let mut next = next.lock().unwrap_or_else(PoisonError::into_inner);
     *next += 1;
     *next - 1
--- a/crates/quay_experiment/src/policy/simulation.rs
+++ b/crates/quay_experiment/src/policy/simulation.rs
@@ -103,9 +103,9 @@
         } else {
             Vec::new()
         };
-        for (at, fault) in &faults {
+        for (time, fault) in &faults {
             if *fault == Fault::Poison {
-                mark_poison_programs(&mut specs, *at);
+                mark_poison_programs(&mut specs, *time);
             }
         }
         let upstreams = (0..scenario.upstreams).map(|index| {
@@ -168,23 +168,23 @@
                 self.schedule_at(deadline, Event::DeadlineExceeded(index));
             }
         }
-        for (at, fault) in faults {
-            self.schedule_at(*at, Event::Fault(*fault));
+        for (time, fault) in faults {
+            self.schedule_at(*time, Event::Fault(*fault));
         }
     }
 
     /// Runs the simulation to its end and returns the measurements.
     pub fn run(mut self) -> Stats {
-        while let Some(Reverse((at, _, event))) = self.queue.pop() {
-            self.now = at;
+        while let Some(Reverse((time, _, event))) = self.queue.pop() {
+            self.now = time;
             self.handle(event);
-            let over = self.open_programs == 0 && self.now > self.end;
-            if over {
+            let ended = self.open_programs == 0 && self.now > self.end;
+            if ended {
                 break;
             }
             // Every program must finish or be abandoned at its deadline.
             assert!(
-                at < self.end + MAX_DRAIN_TIME,
+                time < self.end + MAX_DRAIN_TIME,
                 "{} programs have not ended 10 min after the last arrival",
                 self.open_programs
             );
@@ -223,7 +223,7 @@
                 self.advance_engine(index);
             }
             Event::Tick(index) => self.tick(index),
-            Event::Report(id) => self.deliver_report(id),
+            Event::Report(index) => self.deliver_report(index),
             Event::DeadlineExceeded(program) => self.expire_program(program),
             Event::Fault(fault) => self.apply_fault(fault),
         }
@@ -334,8 +334,8 @@
 
     fn deliver_report(&mut self, index: usize) {
         let id = self.upstreams[index].id;
-        let of_this = |(_, report): &(Time, Announcement)| report.upstream() == id;
-        if let Some(position) = self.pending_reports.iter().position(of_this) {
+        let is_from_upstream = |(_, report): &(Time, Announcement)| report.upstream() == id;
+        if let Some(position) = self.pending_reports.iter().position(is_from_upstream) {
             let (sent_at, report) = self.pending_reports.remove(position);
             for entry in &mut self.entries {
                 entry.apply_announcement(sent_at, &report);
@@ -417,10 +417,10 @@
 
 /// Marks the first two root programs that arrive at or after `at` as poison.
 fn mark_poison_programs(specs: &mut [ProgramSpec], at: Time) {
-    let later = specs
+    let candidates = specs
         .iter_mut()
         .filter(|spec| spec.arrival >= at && spec.parent.is_none());
-    for spec in later.take(2) {
+    for spec in candidates.take(2) {
         spec.poison = true;
     }
 }
