--- a/crates/quay_link/tests/unreachable.rs
+++ b/crates/quay_link/tests/unreachable.rs
@@ -70,7 +70,10 @@
         sleep(Duration::from_millis(5)).await;
     }
     for request in requests {
-        assert!(!request.await.expect("request"), "the peer does not answer");
+        assert!(
+            !request.await.expect("request"),
+            "a request to the unresponsive peer succeeded"
+        );
     }
     // On a slow machine the requests take longer, which permits more attempts.
     let intervals = started.elapsed().as_millis() / MIN_ATTEMPT_INTERVAL.as_millis();
