--- a/crates/quay_standin/src/service.rs
+++ b/crates/quay_standin/src/service.rs
@@ -113,8 +113,8 @@
     parsed["key"].as_str().unwrap_or(body).into()
 }
 
-/// Counts an execution unless a repeated request is idempotent. Returns the
-/// number of executions so far.
+/// Counts an execution; an idempotent service does not count repeated requests.
+/// Returns the number of executions so far.
 fn record_run(settings: &ServiceSettings, runs: &Mutex<Runs>, key: &str) -> u64 {
     let mut runs = lock(runs);
     let count = runs.entry(key.into()).or_default();
