--- a/crates/sapphirequayd/tests/groups.rs
+++ b/crates/sapphirequayd/tests/groups.rs
@@ -336,21 +336,21 @@
                 groups: 0,
                 ..LedgerSettings::default()
             },
-            "[ledger] groups: it is 0",
+            "[ledger] groups: must be at least 1",
         ),
         (
             LedgerSettings {
                 peers: vec![peer(1), peer(1)],
                 ..LedgerSettings::default()
             },
-            "twice",
+            "duplicate node = 1",
         ),
         (
             LedgerSettings {
                 peers: vec![peer(0)],
                 ..LedgerSettings::default()
             },
-            "no identity",
+            "node = 0 is not a valid id",
         ),
         (
             LedgerSettings {
